--- a/datagram/datagram_test.go
+++ b/datagram/datagram_test.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestRepeatedQuestion guards against a question that takes effect twice
+// TestRepeatedRequest guards against a question that takes effect twice
 // because its first answer was late.
-func TestRepeatedQuestion(t *testing.T) {
+func TestRepeatedRequest(t *testing.T) {
 	asker, answerer := newEndpoint(t), newEndpoint(t)
 	serve(t, asker, silent)
 	var answers atomic.Int32
@@ -96,10 +96,10 @@
 	}
 }
 
-// TestForeignSecret guards against an answer to a question from somebody who
+// TestWrongSecret guards against an answer to a question from somebody who
 // does not know the secret, and against one from a process that took over the
 // address.
-func TestForeignSecret(t *testing.T) {
+func TestWrongSecret(t *testing.T) {
 	asker, answerer := newEndpoint(t), newEndpoint(t)
 	serve(t, asker, silent)
 	var answers atomic.Int32
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestInvalidQuestion guards against questions that can't arrive and that are
+// TestInvalidRequest guards against questions that can't arrive and that are
 // waited for.
-func TestInvalidQuestion(t *testing.T) {
+func TestInvalidRequest(t *testing.T) {
 	e := newEndpoint(t)
 	for _, test := range []struct {
 		name    string
--- a/feed/calibration.go
+++ b/feed/calibration.go
@@ -32,7 +32,7 @@
 
 // Moment returns a time at or before the store's steady time, which somebody
 // else has read. It reports false before the first own answer.
-func (c *Calibration) Moment(received time.Time, storeTime time.Duration) (time.Time, bool) {
+func (c *Calibration) LocalTime(received time.Time, storeTime time.Duration) (time.Time, bool) {
 	moment := c.earliest.Add(storeTime)
 	if moment.After(received) {
 		// An answer can't be from later than its arrival.
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -109,7 +109,7 @@
 
 // Since returns what has changed after a revision, as an answer of the store at
 // the time of the last one.
-func (m *Mirror) Since(after Revision) Snapshot {
+func (m *Mirror) ChangesSince(after Revision) Snapshot {
 	snapshot := Snapshot{Complete: after < m.completeAt, Revision: m.revision, StoreTime: m.storeTime}
 	for _, rows := range []map[string]Row{m.rows, m.dropped} {
 		for _, row := range rows {
@@ -135,7 +135,7 @@
 }
 
 // Proof is a time at which the copy was certainly the newest state.
-func (m *Mirror) Proof() time.Time {
+func (m *Mirror) VerifiedAt() time.Time {
 	return m.proof
 }
 
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -22,14 +22,14 @@
 	if diff := cmp.Diff("new", string(row.Value)); diff != "" {
 		t.Errorf("value (-want +got):\n%s", diff)
 	}
-	if !m.Proof().Equal(begin) {
-		t.Errorf("proof %v, want %v", m.Proof(), begin)
+	if !m.VerifiedAt().Equal(begin) {
+		t.Errorf("proof %v, want %v", m.VerifiedAt(), begin)
 	}
 }
 
-// TestDroppedRows guards against a row that was dropped while the store forgot
+// TestDeletedRows guards against a row that was dropped while the store forgot
 // its history, and that stays in the copy.
-func TestDroppedRows(t *testing.T) {
+func TestDeletedRows(t *testing.T) {
 	m := feed.NewMirror()
 	m.Apply(feed.Snapshot{Complete: true, Revision: 5, Rows: []feed.Row{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}}, begin)
 	changed := m.Apply(feed.Snapshot{Complete: true, Revision: 9, Rows: []feed.Row{{Key: "b", Revision: 5}}}, begin)
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestCalibrationProvesNoLaterMoment guards against a lease that runs longer
+// TestObserveIsNotAfterAnswer guards against a lease that runs longer
 // than the answer proves, whatever the delays of the calls.
-func TestCalibrationProvesNoLaterMoment(t *testing.T) {
+func TestObserveIsNotAfterAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c feed.Calibration
 		zero := begin.Add(-time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "zero")))
--- a/feed/since_test.go
+++ b/feed/since_test.go
@@ -12,9 +12,9 @@
 	"github.com/nutmegpier/nutmegpier/feed"
 )
 
-// TestSince guards against a copy of a copy that misses a change or keeps a
+// TestChangesSince guards against a copy of a copy that misses a change or keeps a
 // dropped row: after reloads, many drops, and a follower that was away.
-func TestSince(t *testing.T) {
+func TestChangesSince(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, copied := feed.NewMirror(), feed.NewMirror()
 		store := map[string]feed.Row{}
@@ -47,7 +47,7 @@
 				source.Apply(feed.Snapshot{Revision: revision, Rows: changes}, begin)
 				changes = nil
 			case "copy":
-				copied.Apply(source.Since(copied.Revision()), begin)
+				copied.Apply(source.ChangesSince(copied.Revision()), begin)
 				if diff := cmp.Diff(source.Rows(), copied.Rows(), cmpopts.EquateEmpty()); diff != "" {
 					t.Fatalf("rows of the copy (-want +got):\n%s", diff)
 				}
@@ -56,20 +56,20 @@
 	})
 }
 
-// TestMomentProvesNoLaterMoment guards against a lease that runs longer than a
+// TestLocalTimeIsNotAfterAnswer guards against a lease that runs longer than a
 // relayed answer proves.
-func TestMomentProvesNoLaterMoment(t *testing.T) {
+func TestLocalTimeIsNotAfterAnswer(t *testing.T) {
 	var c feed.Calibration
-	if _, known := c.Moment(begin, time.Second); known {
+	if _, known := c.LocalTime(begin, time.Second); known {
 		t.Error("a moment is known before the first answer")
 	}
 	// The store answered 10 ms after the call was sent, at its time of 1 s.
 	c.Observe(begin, begin.Add(30*time.Millisecond), time.Second)
-	got, known := c.Moment(begin.Add(time.Minute), 3*time.Second)
+	got, known := c.LocalTime(begin.Add(time.Minute), 3*time.Second)
 	if latest := begin.Add(2010 * time.Millisecond); !known || got.After(latest) {
 		t.Errorf("moment %v, known %t; the store answered at %v", got, known, latest)
 	}
-	if got, _ := c.Moment(begin.Add(time.Second), 3*time.Second); got.After(begin.Add(time.Second)) {
+	if got, _ := c.LocalTime(begin.Add(time.Second), 3*time.Second); got.After(begin.Add(time.Second)) {
 		t.Errorf("moment %v is after the arrival", got)
 	}
 }
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -41,7 +41,7 @@
 func (g *Gateway) renewLimits(now time.Time) {
 	g.mu.Lock()
 	// Without a recent look at the rows, others may hold the shares by now.
-	until := g.presence.At()
+	until := g.presence.LastWrite()
 	for _, proof := range []time.Time{g.members.readAt, g.sheetAt} {
 		if proof.Before(until) {
 			until = proof
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -49,7 +49,7 @@
 		}
 		g.mu.Lock()
 		if g.routing != nil {
-			g.sheetAt = f.mirror.Proof()
+			g.sheetAt = f.mirror.VerifiedAt()
 		}
 		g.mu.Unlock()
 	})
@@ -191,9 +191,9 @@
 				g.config.Log.Record(event.EntryRefused, event.Fields{Text: row.Key + ": " + err.Error()})
 				continue
 			}
-			g.adoptRecord(now, record, row.Revision, f.mirror.Proof())
+			g.adoptRecord(now, record, row.Revision, f.mirror.VerifiedAt())
 		}
-		g.proveRecords(f.mirror.Proof())
+		g.proveRecords(f.mirror.VerifiedAt())
 	})
 }
 
@@ -201,7 +201,7 @@
 	g.mu.Lock()
 	state := g.group(record.Group)
 	known := state.watch.Record()
-	state.watch.Observe(now, record, g.presence.Bound(proof))
+	state.watch.Observe(now, record, g.presence.LeaseStart(proof))
 	if revision > state.revision {
 		state.revision = revision
 	}
@@ -230,8 +230,8 @@
 }
 
 func (g *Gateway) proveLocked() {
-	proof := g.presence.Bound(g.members.recordsAt)
+	proof := g.presence.LeaseStart(g.members.recordsAt)
 	for _, state := range g.groups {
-		state.watch.Prove(proof)
+		state.watch.Extend(proof)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -204,8 +204,8 @@
 // groupState is what the instance knows of one group's primary.
 type groupState struct {
 	revision feed.Revision
-	samples  primacy.Samples
-	watch    primacy.Watch
+	samples  primacy.PositionSamples
+	watch    primacy.PrimaryLease
 }
 
 // New returns an instance that has read nothing yet.
@@ -287,7 +287,7 @@
 // failed.
 func (g *Gateway) wakeIfDue() {
 	g.mu.Lock()
-	due := g.config.Clock().Sub(g.presence.At()) > beatInterval
+	due := g.config.Clock().Sub(g.presence.LastWrite()) > beatInterval
 	g.mu.Unlock()
 	if due {
 		g.wake()
--- a/gateway/lease.go
+++ b/gateway/lease.go
@@ -54,7 +54,7 @@
 		server.inFlight--
 	}
 	if l.primary {
-		g.group(l.group).watch.Done()
+		g.group(l.group).watch.Release()
 	}
 }
 
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -145,7 +145,7 @@
 
 // live reports whether the lease of an instance may still run.
 func (v *memberView) live(m *member) bool {
-	return !primacy.IsSilent(v.readStore - m.row.At)
+	return !primacy.IsLeaseExpired(v.readStore - m.row.At)
 }
 
 // others returns the rows of the other live instances.
@@ -265,7 +265,7 @@
 		if state.watch.Record().Phase != primacy.PhaseChanging {
 			continue
 		}
-		generation, confirmed := state.watch.Leave(now)
+		generation, confirmed := state.watch.ConfirmLeave(now)
 		if !confirmed {
 			g.wake()
 			continue
@@ -335,7 +335,7 @@
 		return
 	}
 	g.members.leaderRev = result.Revision
-	g.members.leadership.Written(now, leader)
+	g.members.leadership.WriteSucceeded(now, leader)
 	g.noteLeading(now)
 }
 
@@ -367,7 +367,7 @@
 
 // noteMembershipLost logs once when the own row was not written for long.
 func (g *Gateway) noteMembershipLost(now time.Time, err error) {
-	if g.members.lost || now.Sub(g.presence.At()) < primacy.LeaseTime {
+	if g.members.lost || now.Sub(g.presence.LastWrite()) < primacy.LeaseTime {
 		return
 	}
 	g.members.lost = true
@@ -376,7 +376,7 @@
 
 // noteOwnRow says that the own row was written by a call sent at a time.
 func (g *Gateway) noteOwnRow(sent time.Time) {
-	if g.presence.Written(sent, g.config.Clock()) {
+	if g.presence.WriteSucceeded(sent, g.config.Clock()) {
 		g.members.lost = false
 		g.joinOnce.Do(func() { close(g.joined) })
 		if g.records != nil {
@@ -471,7 +471,7 @@
 			g.observeLeader(now, row)
 		}
 	}
-	if proof := f.mirror.Proof(); proof.After(g.members.readAt) {
+	if proof := f.mirror.VerifiedAt(); proof.After(g.members.readAt) {
 		g.members.readAt, g.members.readStore = proof, g.storeClock.StoreTime(proof)
 	}
 	g.checkSuspected()
@@ -521,7 +521,7 @@
 func (g *Gateway) Leave(ctx context.Context) {
 	g.mu.Lock()
 	write := Write{Key: string(g.members.self), Partition: memberPartition(g.members.self), Remove: true, Revision: g.members.ownRev, Table: memberTable}
-	g.presence.End()
+	g.presence.Reset()
 	g.mu.Unlock()
 	if _, err := g.config.Store.Write(ctx, []Write{write}); err != nil {
 		g.config.Log.Record(event.StoreUnavailable, event.Fields{Text: "leave: " + err.Error()})
--- a/gateway/participation.go
+++ b/gateway/participation.go
@@ -34,7 +34,7 @@
 // counts reports whether the own row has been there without a gap up to now.
 // The caller holds the lock.
 func (g *Gateway) counts(now time.Time) bool {
-	written := g.presence.At()
+	written := g.presence.LastWrite()
 	return now.Before(g.members.resumedUntil) || (!written.IsZero() && now.Sub(written) < primacy.LeaseTime)
 }
 
--- a/gateway/promoter.go
+++ b/gateway/promoter.go
@@ -211,7 +211,7 @@
 		state.changed, state.ordered = now, time.Time{}
 	}
 	state.record = record
-	s := primacy.Situation{Changed: state.changed, Ordered: state.ordered, Permitted: record.Target != "" && record == state.permitted, Record: record}
+	s := primacy.Situation{GenerationSeenAt: state.changed, LastOrderAt: state.ordered, OrderPending: record.Target != "" && record == state.permitted, Record: record}
 	if g.routing != nil {
 		s.SyncReplicas = g.routing.Database(group).SyncReplicas
 	}
@@ -229,14 +229,14 @@
 		}
 		report := state.statuses[id]
 		s.Servers = append(s.Servers, primacy.Server{
-			ClaimsLead: server.Primary,
-			Eligible:   !server.Leaving && g.routing != nil && g.routing.IsInService(server.DataCentre),
-			ID:         id,
-			Position:   report.status.Position,
-			Registered: true,
-			Role:       report.status.Role,
-			StatusAt:   report.at,
-			Term:       report.status.Term,
+			RegisteredAsPrimary: server.Primary,
+			Eligible:            !server.Leaving && g.routing != nil && g.routing.IsInService(server.DataCentre),
+			ID:                  id,
+			Position:            report.status.Position,
+			Registered:          true,
+			Role:                report.status.Role,
+			StatusAt:            report.at,
+			Term:                report.status.Term,
 		})
 		if !g.isUnreachable(id) {
 			// A round of status calls must not wait for a server that is gone.
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -45,7 +45,7 @@
 }
 
 // Relay returns what this instance has read of a table, for another one.
-func (g *Gateway) Relay(ctx context.Context, request relay.Request) (feed.Snapshot, error) {
+func (g *Gateway) ReadChanges(ctx context.Context, request relay.Request) (feed.Snapshot, error) {
 	g.mu.Lock()
 	f := g.followers[Table(request.Table)]
 	g.mu.Unlock()
@@ -73,7 +73,7 @@
 	if !f.fromStore {
 		return feed.Snapshot{}, nil, &Error{Err: errors.New("this instance does not read from the store now"), Kind: KindNotDone, Op: "relay"}
 	}
-	return f.mirror.Since(after), f.advanced, nil
+	return f.mirror.ChangesSince(after), f.advanced, nil
 }
 
 // relay returns the instance from which this one gets the tables. It reports
@@ -147,7 +147,7 @@
 		return nil, err
 	}
 	f.gateway.mu.Lock()
-	proof, calibrated := f.gateway.storeClock.Moment(f.gateway.config.Clock(), snapshot.StoreTime)
+	proof, calibrated := f.gateway.storeClock.LocalTime(f.gateway.config.Clock(), snapshot.StoreTime)
 	f.gateway.mu.Unlock()
 	if !calibrated {
 		return nil, &Error{Err: errors.New("the store's clock is not known"), Kind: KindInvalid, Op: "relay"}
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -70,12 +70,12 @@
 	if record.Phase == primacy.PhaseServing && server != nil && !g.usable(now, server) {
 		return nil, g.changed, nil
 	}
-	id, generation, usable := state.watch.Use(now)
+	id, generation, usable := state.watch.Acquire(now)
 	if !usable {
 		return nil, g.changed, nil
 	}
 	if server == nil {
-		state.watch.Done()
+		state.watch.Release()
 		return nil, g.changed, nil
 	}
 	server.inFlight++
@@ -99,7 +99,7 @@
 	defer g.mu.Unlock()
 	state := g.group(need.Route.Group)
 	record := state.watch.Record()
-	after, sampled := state.samples.Requirement(need.Since.Add(-need.Route.MaxAge.Duration()), need.Own)
+	after, sampled := state.samples.RequiredPosition(need.Since.Add(-need.Route.MaxAge.Duration()), need.Own)
 	if !sampled {
 		return "", after, true, !need.Avoid[record.Primary]
 	}
--- a/primacy/leadership.go
+++ b/primacy/leadership.go
@@ -95,7 +95,7 @@
 }
 
 // Written says that the row was written by a call that was sent at a time.
-func (l *Leadership) Written(sent time.Time, row Leader) {
+func (l *Leadership) WriteSucceeded(sent time.Time, row Leader) {
 	l.row = row
 	l.seen = sent
 	l.renewed = sent
--- a/primacy/model_test.go
+++ b/primacy/model_test.go
@@ -67,7 +67,7 @@
 	id       int
 	presence primacy.Presence
 	proof    time.Time
-	watch    primacy.Watch
+	watch    primacy.PrimaryLease
 	left     primacy.Generation
 	beat     int
 	frozen   time.Time
@@ -131,17 +131,17 @@
 	m.rows[i.id] = rowState{at: sent, beat: i.beat, left: i.left}
 	m.now = m.now.Add(time.Duration(m.between(1, 300)) * time.Millisecond)
 	if !m.lost() {
-		i.presence.Written(sent, m.now)
+		i.presence.WriteSucceeded(sent, m.now)
 		m.prove(i)
 	}
 }
 
 func (m *model) prove(i *modelInstance) {
 	if m.faults.noBound {
-		i.watch.Prove(i.proof)
+		i.watch.Extend(i.proof)
 		return
 	}
-	i.watch.Prove(i.presence.Bound(i.proof))
+	i.watch.Extend(i.presence.LeaseStart(i.proof))
 }
 
 // look reads the record.
@@ -152,13 +152,13 @@
 		return
 	}
 	i.proof = sent
-	bound := i.presence.Bound(sent)
+	bound := i.presence.LeaseStart(sent)
 	if m.faults.noBound {
 		bound = sent
 	}
 	i.watch.Observe(m.now, record, bound)
 	m.prove(i)
-	if generation, confirmed := i.watch.Leave(m.now); confirmed {
+	if generation, confirmed := i.watch.ConfirmLeave(m.now); confirmed {
 		i.left = generation
 	}
 }
@@ -173,7 +173,7 @@
 		i.leaderRow = next
 		m.leader = next
 		if !m.lost() {
-			i.leadership.Written(m.now, next)
+			i.leadership.WriteSucceeded(m.now, next)
 		}
 	}
 	token, leading := i.leadership.Token(m.now)
@@ -200,15 +200,15 @@
 }
 
 func (m *model) step(i *modelInstance, token primacy.Token) {
-	situation := primacy.Situation{Changed: i.changed, Ordered: i.ordered, Permitted: m.record.Target != "" && m.record == i.permitted, Record: m.record}
+	situation := primacy.Situation{GenerationSeenAt: i.changed, LastOrderAt: i.ordered, OrderPending: m.record.Target != "" && m.record == i.permitted, Record: m.record}
 	if m.faults.shortLease {
-		situation.Changed = situation.Changed.Add(-2 * time.Second)
+		situation.GenerationSeenAt = situation.GenerationSeenAt.Add(-2 * time.Second)
 	}
 	suspected := m.between(0, 1) == 0
 	for _, member := range i.members {
 		situation.Members = append(situation.Members, primacy.Member{
 			Left:        member.row.left,
-			Live:        !m.faults.earlyTarget && !primacy.IsSilent(i.looked.Sub(member.row.at)),
+			Live:        !m.faults.earlyTarget && !primacy.IsLeaseExpired(i.looked.Sub(member.row.at)),
 			Unreachable: suspected,
 		})
 	}
--- a/primacy/presence.go
+++ b/primacy/presence.go
@@ -11,7 +11,7 @@
 
 // Written says that the row was written by a call between two times. It reports
 // whether the row may have counted as silent before.
-func (p *Presence) Written(sent, answered time.Time) (began bool) {
+func (p *Presence) WriteSucceeded(sent, answered time.Time) (began bool) {
 	began = p.written.IsZero() || sent.Sub(p.written) >= LeaseTime
 	if began {
 		p.since = answered
@@ -21,19 +21,19 @@
 }
 
 // End says that the row is dropped.
-func (p *Presence) End() {
+func (p *Presence) Reset() {
 	*p = Presence{}
 }
 
 // At is when the last write was sent that succeeded.
-func (p *Presence) At() time.Time {
+func (p *Presence) LastWrite() time.Time {
 	return p.written
 }
 
 // Bound returns the time up to which a look at the records lets the instance
 // use primaries. A look from before the row was visible proves nothing, because
 // a change may not have waited for this instance.
-func (p *Presence) Bound(proof time.Time) time.Time {
+func (p *Presence) LeaseStart(proof time.Time) time.Time {
 	switch {
 	case p.written.IsZero() || proof.Before(p.since):
 		return time.Time{}
@@ -44,8 +44,8 @@
 	}
 }
 
-// IsSilent reports whether the lease of an instance has certainly ended. Age is
+// IsLeaseExpired reports whether the lease of an instance has certainly ended. Age is
 // the time on the store's clock from when the row was sent to a look at it.
-func IsSilent(age time.Duration) bool {
+func IsLeaseExpired(age time.Duration) bool {
 	return age >= LeaseTime+LeaseMargin
 }
--- a/primacy/promotion.go
+++ b/primacy/promotion.go
@@ -43,9 +43,9 @@
 	ID       fleet.ServerID
 	// Position is the end of the received log.
 	Position fleet.Position
-	// ClaimsLead says that the server's registration names it as primary. It
+	// RegisteredAsPrimary says that the server's registration names it as primary. It
 	// comes without a term.
-	ClaimsLead bool
+	RegisteredAsPrimary bool
 	// Registered is false for servers that are not listed any more.
 	Registered bool
 	Role       Role
@@ -68,14 +68,14 @@
 // Situation is all that the leader's next step depends on.
 type Situation struct {
 	// Changed is when the leader first saw the record's present generation.
-	Changed time.Time
+	GenerationSeenAt time.Time
 	// Members are all instances, the leader included.
 	Members []Member
 	// Ordered is when the leader last ordered the promotion of the target.
-	Ordered time.Time
+	LastOrderAt time.Time
 	// Permitted says that the leader itself wrote the present record, and has
 	// not given the last of its orders yet.
-	Permitted bool
+	OrderPending bool
 	// Record is the zero Record if there is none.
 	Record  Record
 	Servers []Server
@@ -141,7 +141,7 @@
 		return Step{Kind: StepWrite, Record: next}
 	}
 	// An order too many may still come and would undo a further change.
-	late := s.Record.Orders > 1 && now.Before(s.Changed.Add(lateBound))
+	late := s.Record.Orders > 1 && now.Before(s.GenerationSeenAt.Add(lateBound))
 	if late || !s.hasCandidate() {
 		return Step{Kind: StepNone}
 	}
@@ -161,7 +161,7 @@
 	if !s.allLeft(now) {
 		return Step{Kind: StepNone}
 	}
-	if !s.candidatesSince(s.Changed) && now.Before(s.Changed.Add(statusBound)) {
+	if !s.candidatesSince(s.GenerationSeenAt) && now.Before(s.GenerationSeenAt.Add(statusBound)) {
 		return Step{Kind: StepStatus}
 	}
 	target, found := s.candidate()
@@ -169,8 +169,8 @@
 		return Step{Kind: StepStatus}
 	}
 	old, known := s.server(s.Record.Primary)
-	if known && s.Record.Reason == ReasonHandover && old.StatusAt.After(s.Changed) &&
-		target.Position.Compare(old.Position) < 0 && now.Before(s.Changed.Add(catchUpBound)) {
+	if known && s.Record.Reason == ReasonHandover && old.StatusAt.After(s.GenerationSeenAt) &&
+		target.Position.Compare(old.Position) < 0 && now.Before(s.GenerationSeenAt.Add(catchUpBound)) {
 		return Step{Kind: StepStatus}
 	}
 	next := s.Record
@@ -182,9 +182,9 @@
 // promoting orders the promotion of the recorded target and waits for it.
 func (s Situation) promoting(now time.Time) Step {
 	target, known := s.server(s.Record.Target)
-	leads := known && target.Role == RolePrimary && target.Term > s.Record.Term && target.StatusAt.After(s.Changed)
+	leads := known && target.Role == RolePrimary && target.Term > s.Record.Term && target.StatusAt.After(s.GenerationSeenAt)
 	// A server that is full answers no status, but its registration tells.
-	claims := known && target.ClaimsLead && !s.Ordered.IsZero()
+	claims := known && target.RegisteredAsPrimary && !s.LastOrderAt.IsZero()
 	if leads || claims {
 		return Step{Kind: StepWrite, Record: Record{
 			Generation: s.Record.Generation + 1, Orders: s.Record.Orders, Phase: PhaseServing,
@@ -192,17 +192,17 @@
 		}}
 	}
 	gone := !known || !target.Registered
-	if now.After(s.Changed.Add(targetBound)) && (gone || target.StatusAt.Before(now.Add(-statusBound))) {
+	if now.After(s.GenerationSeenAt.Add(targetBound)) && (gone || target.StatusAt.Before(now.Add(-statusBound))) {
 		next := s.Record
 		next.Target = ""
 		next.Orders = 0
 		next.Generation++
 		return Step{Kind: StepWrite, Record: next}
 	}
-	if s.Permitted {
+	if s.OrderPending {
 		return Step{Kind: StepPromote, Target: s.Record.Target}
 	}
-	if s.Ordered.IsZero() || now.Sub(s.Ordered) >= promoteBound {
+	if s.LastOrderAt.IsZero() || now.Sub(s.LastOrderAt) >= promoteBound {
 		next := s.Record
 		next.Orders++
 		return Step{Kind: StepWrite, Record: next}
@@ -213,7 +213,7 @@
 // allLeft reports whether no instance uses the old primary any more: each has
 // confirmed, or its lease has certainly ended.
 func (s Situation) allLeft(now time.Time) bool {
-	if !now.Before(s.Changed.Add(LeaseTime + LeaseMargin)) {
+	if !now.Before(s.GenerationSeenAt.Add(LeaseTime + LeaseMargin)) {
 		return true
 	}
 	return !slices.ContainsFunc(s.Members, func(m Member) bool { return m.Live && m.Left < s.Record.Generation })
@@ -248,7 +248,7 @@
 			continue
 		}
 		replicas++
-		if server.StatusAt.After(s.Changed) {
+		if server.StatusAt.After(s.GenerationSeenAt) {
 			answered++
 		}
 	}
@@ -265,11 +265,11 @@
 // since the change, and can take the lead. A server that leads a later term
 // already comes first.
 func (s Situation) candidate() (Server, bool) {
-	if leading, found := s.leading(); found && leading.Term > s.Record.Term && leading.StatusAt.After(s.Changed) {
+	if leading, found := s.leading(); found && leading.Term > s.Record.Term && leading.StatusAt.After(s.GenerationSeenAt) {
 		return leading, true
 	}
 	return best(s.Servers, func(server Server) bool {
-		return server.Registered && server.Eligible && server.ID != s.Record.Primary && server.StatusAt.After(s.Changed)
+		return server.Registered && server.Eligible && server.ID != s.Record.Primary && server.StatusAt.After(s.GenerationSeenAt)
 	})
 }
 
--- a/primacy/promotion_test.go
+++ b/primacy/promotion_test.go
@@ -15,9 +15,9 @@
 // changing is a group whose primary is being replaced, a second ago.
 func changing(reason primacy.Reason) primacy.Situation {
 	return primacy.Situation{
-		Changed: now.Add(-time.Second),
-		Members: []primacy.Member{{Left: 2, Live: true}},
-		Record:  primacy.Record{Generation: 2, Phase: primacy.PhaseChanging, Primary: "old", Reason: reason, Term: 1},
+		GenerationSeenAt: now.Add(-time.Second),
+		Members:          []primacy.Member{{Left: 2, Live: true}},
+		Record:           primacy.Record{Generation: 2, Phase: primacy.PhaseChanging, Primary: "old", Reason: reason, Term: 1},
 	}
 }
 
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestChoice guards against a target that lacks commits of another server that
+// TestPromotionCandidate guards against a target that lacks commits of another server that
 // could be asked, that leaves, or whose position is from before the change.
-func TestChoice(t *testing.T) {
+func TestPromotionCandidate(t *testing.T) {
 	leaving := replica("c", 9, 0)
 	leaving.Eligible = false
 	for _, test := range []struct {
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestSuspicion guards against a primary that is replaced because a few
+// TestPrimaryUnreachable guards against a primary that is replaced because a few
 // instances can't reach it, and against one that nobody replaces.
-func TestSuspicion(t *testing.T) {
+func TestPrimaryUnreachable(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		members []primacy.Member
@@ -89,7 +89,7 @@
 // the old primary has acknowledged.
 func TestHandoverWaitsForTheLog(t *testing.T) {
 	s := changing(primacy.ReasonHandover)
-	s.Changed = now.Add(-100 * time.Millisecond)
+	s.GenerationSeenAt = now.Add(-100 * time.Millisecond)
 	old := replica("old", 9, 0)
 	old.Role = primacy.RolePrimary
 	s.Servers = []primacy.Server{replica("a", 8, 0), old}
--- a/primacy/samples.go
+++ b/primacy/samples.go
@@ -20,16 +20,16 @@
 	time     time.Time
 }
 
-// Samples are positions of a group's log, each seen at the primary. A log that
+// PositionSamples are positions of a group's log, each seen at the primary. A log that
 // holds a position holds all commits that were acknowledged before the
 // sample's time. It isn't safe for concurrent use.
-type Samples struct {
+type PositionSamples struct {
 	samples []sample
 }
 
 // Add notes that the primary's log ended at a position, at a time when it was
 // the only primary. A sample of an earlier term than the newest is dropped.
-func (s *Samples) Add(position fleet.Position, at time.Time) {
+func (s *PositionSamples) Add(position fleet.Position, at time.Time) {
 	n := len(s.samples)
 	if n > 0 {
 		newest := s.samples[n-1]
@@ -56,7 +56,7 @@
 
 // Oldest returns the first position that was seen at or after a time. It asks
 // least of a replica.
-func (s *Samples) Oldest(notBefore time.Time) (fleet.Position, bool) {
+func (s *PositionSamples) FirstSince(notBefore time.Time) (fleet.Position, bool) {
 	for _, candidate := range s.samples {
 		if !candidate.time.Before(notBefore) {
 			return candidate.position, true
@@ -73,8 +73,8 @@
 // that was seen at a new primary before its first commit is still one of the
 // term before, so it may be behind the own commit in both. An own commit of an
 // earlier term is in the log of each later one, or was rolled back.
-func (s *Samples) Requirement(notBefore time.Time, own fleet.Position) (fleet.Position, bool) {
-	oldest, found := s.Oldest(notBefore)
+func (s *PositionSamples) RequiredPosition(notBefore time.Time, own fleet.Position) (fleet.Position, bool) {
+	oldest, found := s.FirstSince(notBefore)
 	if !found {
 		return fleet.Position{}, false
 	}
--- a/primacy/samples_test.go
+++ b/primacy/samples_test.go
@@ -10,10 +10,10 @@
 	"github.com/nutmegpier/nutmegpier/primacy"
 )
 
-// TestRequirement guards against a read that misses its session's own commit,
+// TestRequiredPosition guards against a read that misses its session's own commit,
 // also the first one of a new primary whose log was last seen in the term
 // before, and against one that accepts an older log than its route.
-func TestRequirement(t *testing.T) {
+func TestRequiredPosition(t *testing.T) {
 	at := func(term fleet.Term, log fleet.LogPosition) fleet.Position {
 		return fleet.Position{Term: term, Log: log}
 	}
@@ -33,11 +33,11 @@
 		{name: "oldest of two", seen: []fleet.Position{at(1, 5), at(1, 7)}, want: at(1, 5), found: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var samples primacy.Samples
+			var samples primacy.PositionSamples
 			for i, position := range test.seen {
 				samples.Add(position, now.Add(time.Duration(i)*100*time.Millisecond))
 			}
-			got, found := samples.Requirement(now.Add(-time.Second), test.own)
+			got, found := samples.RequiredPosition(now.Add(-time.Second), test.own)
 			if found != test.found {
 				t.Fatalf("found %v, want %v", found, test.found)
 			}
@@ -48,16 +48,16 @@
 	}
 }
 
-// TestSamples guards against a position from before the age of a route, and one
+// TestFirstSince guards against a position from before the age of a route, and one
 // of an earlier term that was rolled back.
-func TestSamples(t *testing.T) {
-	var samples primacy.Samples
+func TestFirstSince(t *testing.T) {
+	var samples primacy.PositionSamples
 	samples.Add(fleet.Position{Term: 1, Log: 5}, now)
-	if _, found := samples.Oldest(now.Add(time.Millisecond)); found {
+	if _, found := samples.FirstSince(now.Add(time.Millisecond)); found {
 		t.Error("a position from before was found")
 	}
 	samples.Add(fleet.Position{Term: 2, Log: 4}, now.Add(time.Second))
-	oldest, _ := samples.Oldest(now.Add(-time.Second))
+	oldest, _ := samples.FirstSince(now.Add(-time.Second))
 	if diff := cmp.Diff(fleet.Position{Term: 2, Log: 4}, oldest); diff != "" {
 		t.Errorf("oldest position (-want +got):\n%s", diff)
 	}
--- a/primacy/watch.go
+++ b/primacy/watch.go
@@ -6,14 +6,14 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// HandoverPatience is how long the transactions of an instance may go on at a
+// HandoverGracePeriod is how long the transactions of an instance may go on at a
 // primary that is handed over. Most take well under it; longer ones would hold
 // up all other writes.
-const HandoverPatience = 400 * time.Millisecond
+const HandoverGracePeriod = 400 * time.Millisecond
 
-// Watch is what one instance knows of one group's primary, and whether it has
+// PrimaryLease is what one instance knows of one group's primary, and whether it has
 // left it. It isn't safe for concurrent use.
-type Watch struct {
+type PrimaryLease struct {
 	changing time.Time
 	inUse    int
 	left     Generation
@@ -23,7 +23,7 @@
 
 // Observe takes a record in that was the newest one at the time of proof. An
 // older record than the known one changes nothing.
-func (w *Watch) Observe(now time.Time, record Record, proof time.Time) {
+func (w *PrimaryLease) Observe(now time.Time, record Record, proof time.Time) {
 	if record.Generation < w.record.Generation {
 		return
 	}
@@ -31,24 +31,24 @@
 		w.changing = now
 	}
 	w.record = record
-	w.Prove(proof)
+	w.Extend(proof)
 }
 
 // Prove says that the known record was the newest one at a time.
-func (w *Watch) Prove(proof time.Time) {
+func (w *PrimaryLease) Extend(proof time.Time) {
 	if proof.After(w.proof) {
 		w.proof = proof
 	}
 }
 
 // Record returns the known record.
-func (w *Watch) Record() Record {
+func (w *PrimaryLease) Record() Record {
 	return w.record
 }
 
 // Use starts one use of the primary. It reports false if the primary may not
 // be used now. Each use is ended by Done.
-func (w *Watch) Use(now time.Time) (server fleet.ServerID, generation Generation, usable bool) {
+func (w *PrimaryLease) Acquire(now time.Time) (server fleet.ServerID, generation Generation, usable bool) {
 	if w.record.Phase != PhaseServing || !w.leased(now) {
 		return "", 0, false
 	}
@@ -57,13 +57,13 @@
 }
 
 // Done ends one use.
-func (w *Watch) Done() {
+func (w *PrimaryLease) Release() {
 	w.inUse--
 }
 
 // Exclusive reports whether the primary of a use was the only one up to now.
 // During a change that stays true until the instance has left the primary.
-func (w *Watch) Exclusive(now time.Time, generation Generation) bool {
+func (w *PrimaryLease) Exclusive(now time.Time, generation Generation) bool {
 	if !w.leased(now) {
 		return false
 	}
@@ -76,11 +76,11 @@
 
 // Leave reports whether the instance can confirm that it has left the primary,
 // and notes that it does: from then on no use is exclusive.
-func (w *Watch) Leave(now time.Time) (generation Generation, confirmed bool) {
+func (w *PrimaryLease) ConfirmLeave(now time.Time) (generation Generation, confirmed bool) {
 	if w.record.Phase != PhaseChanging {
 		return 0, false
 	}
-	patient := w.record.Reason == ReasonHandover && w.inUse > 0 && now.Before(w.changing.Add(HandoverPatience))
+	patient := w.record.Reason == ReasonHandover && w.inUse > 0 && now.Before(w.changing.Add(HandoverGracePeriod))
 	if patient && w.left < w.record.Generation {
 		return 0, false
 	}
@@ -88,6 +88,6 @@
 	return w.left, true
 }
 
-func (w *Watch) leased(now time.Time) bool {
+func (w *PrimaryLease) leased(now time.Time) bool {
 	return now.Before(w.proof.Add(LeaseTime))
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -35,7 +35,7 @@
 // Source returns what this instance has read. It returns an error if it does not
 // read the table from the store itself.
 type Source interface {
-	Relay(ctx context.Context, request Request) (feed.Snapshot, error)
+	ReadChanges(ctx context.Context, request Request) (feed.Snapshot, error)
 }
 
 // Server answers other instances.
@@ -64,7 +64,7 @@
 		return nil, connect.NewError(connect.CodeUnauthenticated, errors.New("the secret is not that of this instance"))
 	}
 	message := request.Msg
-	snapshot, err := s.source.Relay(ctx, Request{
+	snapshot, err := s.source.ReadChanges(ctx, Request{
 		After: feed.Revision(message.GetAfter()), StoreTime: time.Duration(message.GetStoreTimeNs()),
 		Table: message.GetTable(), Wait: message.GetWait(),
 	})
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -22,7 +22,7 @@
 	snapshot feed.Snapshot
 }
 
-func (s *source) Relay(_ context.Context, request relay.Request) (feed.Snapshot, error) {
+func (s *source) ReadChanges(_ context.Context, request relay.Request) (feed.Snapshot, error) {
 	s.requests = append(s.requests, request)
 	return s.snapshot, s.err
 }
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestRefusals guards against answers to somebody who does not know the secret,
+// TestErrors guards against answers to somebody who does not know the secret,
 // and against an instance without answer that is taken for one without changes.
-func TestRefusals(t *testing.T) {
+func TestErrors(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		secret string
