--- a/blackboard/section.go
+++ b/blackboard/section.go
@@ -1,11 +1,13 @@
-// Package blackboard holds the shared state of an instance. Each controller
-// owns the sections that it writes and reads those of the others.
+// Package blackboard provides the containers for the shared state of an
+// instance. Each controller writes the sections that it owns, and reads those
+// of others.
 package blackboard
 
 import "sync"
 
-// Section is one value on the blackboard. It has one writer and any number of
-// readers. Readers must not change what they load.
+// Section holds one value of the shared state and notifies readers of changes.
+// It has one writer and any number of readers. Readers must not modify what
+// they load.
 type Section[T any] struct {
 	changed chan struct{}
 	mu      sync.RWMutex
@@ -24,7 +26,7 @@
 	return s.value
 }
 
-// Store replaces the value and wakes all who wait for a change.
+// Store replaces the value and wakes all readers that wait for a change.
 func (s *Section[T]) Store(value T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,8 +35,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Watch returns the current value and a channel that is closed when it is
-// replaced. Both belong to the same moment, so no change is missed.
+// Watch returns the current value and a channel that is closed when that value
+// is replaced, so that a reader that waits on the channel misses no change.
 func (s *Section[T]) Watch() (value T, changed <-chan struct{}) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/blackboard/section_test.go
+++ b/blackboard/section_test.go
@@ -8,8 +8,8 @@
 	"github.com/nutmegpier/nutmegpier/blackboard"
 )
 
-// TestWatchMissesNoChange guards against a change between reading a value and
-// waiting for the next one that wakes nobody.
+// TestWatchMissesNoChange guards against a reader that waits forever because
+// the value changed between its read and its wait.
 func TestWatchMissesNoChange(t *testing.T) {
 	section := blackboard.New(1)
 	value, changed := section.Watch()
--- a/datagram/answercache.go
+++ b/datagram/answercache.go
@@ -2,23 +2,23 @@
 
 import "net/netip"
 
-// answerKey names a question by its sender and id.
+// answerKey identifies a request by its sender and id.
 type answerKey struct {
 	from netip.AddrPort
 	id   uint64
 }
 
-// answerCache keeps the last answers. It isn't safe for concurrent use.
+// answerCache keeps the most recent answers. It isn't safe for concurrent use.
 type answerCache struct {
 	answers map[answerKey][]byte
-	// order holds the keys in the order of their arrival; the oldest one is at
-	// the place that is written next.
-	order []answerKey
-	place int
+	// ring holds the keys in the order of their arrival. nextSlot is the place
+	// of the oldest one, which is overwritten next.
+	ring     []answerKey
+	nextSlot int
 }
 
 func newAnswerCache(size int) *answerCache {
-	return &answerCache{answers: make(map[answerKey][]byte, size), order: make([]answerKey, size)}
+	return &answerCache{answers: make(map[answerKey][]byte, size), ring: make([]answerKey, size)}
 }
 
 func (c *answerCache) get(key answerKey) ([]byte, bool) {
@@ -26,9 +26,10 @@
 	return answer, known
 }
 
+// put adds an answer and drops the oldest one.
 func (c *answerCache) put(key answerKey, answer []byte) {
-	delete(c.answers, c.order[c.place])
-	c.order[c.place] = key
-	c.place = (c.place + 1) % len(c.order)
+	delete(c.answers, c.ring[c.nextSlot])
+	c.ring[c.nextSlot] = key
+	c.nextSlot = (c.nextSlot + 1) % len(c.ring)
 	c.answers[key] = answer
 }
--- a/datagram/datagram.go
+++ b/datagram/datagram.go
@@ -1,7 +1,7 @@
-// Package datagram carries short questions and answers between instances over
-// UDP. One socket serves all of them, so that many instances cost no connections
-// that could go silent. Each message is authenticated with the secret of the
-// instance that answers.
+// Package datagram carries short requests and answers between instances over
+// UDP. One socket serves all of them, so that many instances need no
+// connections, which could break without notice. Each message is authenticated
+// with the secret of the instance that answers.
 package datagram
 
 import (
@@ -18,92 +18,94 @@
 )
 
 const (
-	// resendInterval is when a question without an answer is sent again: several
-	// times the way there and back inside a region.
+	// resendInterval is how often a request is sent again until it is answered:
+	// several times the round trip inside a region.
 	resendInterval = 20 * time.Millisecond
-	// secretBytes is the length of a secret: that of the digest's output.
+	// secretBytes is the length of a secret, that of the digest's output.
 	secretBytes = sha256.Size
-	// tagBytes is the length of the authentication tag, which is shortened to
-	// half, as is usual for short-lived messages.
+	// tagBytes is the length of the authentication tag. The digest is truncated
+	// to half, as is usual for short-lived messages.
 	tagBytes = 16
-	// idBytes is the length of a question's id.
+	// idBytes is the length of a request id.
 	idBytes = 8
-	// headBytes precede the content: kind, id and tag.
-	headBytes = 1 + idBytes + tagBytes
-	// maxBytes is the longest message. It fits in one packet of an Ethernet
-	// link.
-	maxBytes = 1400
-	// keptAnswers is the number of answers that are kept for questions that
+	// headerBytes is the length of the header: kind, id and tag.
+	headerBytes = 1 + idBytes + tagBytes
+	// maxMessageBytes is the maximum length of a message. It fits in one packet
+	// of an Ethernet link.
+	maxMessageBytes = 1400
+	// answerCacheSize is the number of answers that are kept for requests that
 	// arrive again: about a second of them on a busy instance.
-	keptAnswers = 512
-	// readPause is the wait after a read that failed.
-	readPause = 10 * time.Millisecond
+	answerCacheSize = 512
+	// readRetryDelay is the wait after a failed read of the socket.
+	readRetryDelay = 10 * time.Millisecond
 )
 
-// kind tells questions and answers apart.
+// kind distinguishes requests from answers.
 type kind byte
 
 const (
-	kindQuestion kind = 'q'
-	kindAnswer   kind = 'a'
+	kindRequest kind = 'q'
+	kindAnswer  kind = 'a'
 )
 
-// Endpoint asks and answers over one socket. It is safe for concurrent use.
+// Endpoint sends and serves requests over one socket. It is safe for concurrent
+// use.
 type Endpoint struct {
-	answered *answerCache
-	conn     *net.UDPConn
-	secret   []byte
+	sentAnswers *answerCache
+	conn        *net.UDPConn
+	secret      []byte
 
 	mu      sync.Mutex
-	next    uint64
-	pending map[uint64]*question
+	lastID  uint64
+	pending map[uint64]*pendingRequest
 }
 
-// question is one that waits for its answer.
-type question struct {
+// pendingRequest is a request that waits for its answer.
+type pendingRequest struct {
 	answer chan []byte
 	secret []byte
 	to     netip.AddrPort
 }
 
-// New returns an endpoint with a secret of its own that answers at the socket's
-// address.
+// New returns an endpoint on a socket, with a random secret of its own.
 func New(conn *net.UDPConn) *Endpoint {
 	random := make([]byte, secretBytes+idBytes)
 	_, _ = rand.Read(random) // never fails, by its contract
 	return &Endpoint{
-		answered: newAnswerCache(keptAnswers),
-		conn:     conn,
-		// An answer to an earlier run of the process must not match.
-		next:    binary.BigEndian.Uint64(random[secretBytes:]),
-		pending: map[uint64]*question{},
+		sentAnswers: newAnswerCache(answerCacheSize),
+		conn:        conn,
+		// Ids start at random, so that an answer to a request of an earlier
+		// process doesn't match.
+		lastID:  binary.BigEndian.Uint64(random[secretBytes:]),
+		pending: map[uint64]*pendingRequest{},
 		secret:  random[:secretBytes],
 	}
 }
 
-// Address is where the endpoint answers, as IP:port.
+// Address returns the address that the endpoint serves, as IP:port.
 func (e *Endpoint) Address() string {
 	return e.conn.LocalAddr().String()
 }
 
-// Secret must be known to those who ask this endpoint.
+// Secret returns the secret that callers of this endpoint must know.
 func (e *Endpoint) Secret() []byte {
 	return e.secret
 }
 
-// Ask returns the answer of the endpoint at an address with a secret. The
-// question is sent again until the context ends.
+// Ask sends a request to the endpoint at an address, with the secret of that
+// endpoint, and returns the answer. The request is sent again until it is
+// answered or the context ends.
 func (e *Endpoint) Ask(ctx context.Context, address string, secret, content []byte) ([]byte, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, &Error{Err: err, Kind: KindInvalid, Op: "ask"}
 	}
-	if len(content)+headBytes > maxBytes {
-		return nil, &Error{Err: errors.New("the question is too long"), Kind: KindInvalid, Op: "ask"}
+	if len(content)+headerBytes > maxMessageBytes {
+		return nil, &Error{Err: errors.New("the request exceeds the maximum message length"), Kind: KindInvalid, Op: "ask"}
 	}
-	id, asked := e.register(to, secret)
+	id, request := e.register(to, secret)
 	defer e.unregister(id)
-	message := encode(kindQuestion, id, secret, content)
+	message := encode(kindRequest, id, secret, content)
 	ticker := time.NewTicker(resendInterval)
 	defer ticker.Stop()
 	for {
@@ -111,7 +113,7 @@
 			return nil, &Error{Err: err, Kind: KindUnreachable, Op: "ask"}
 		}
 		select {
-		case answer := <-asked.answer:
+		case answer := <-request.answer:
 			return answer, nil
 		case <-ctx.Done():
 			return nil, &Error{Err: ctx.Err(), Kind: KindUnreachable, Op: "ask"}
@@ -120,21 +122,22 @@
 	}
 }
 
-// Serve answers questions and takes answers until the context ends. A question
-// that arrives again gets the first answer again.
-func (e *Endpoint) Serve(ctx context.Context, answer func(question []byte) []byte) error {
+// Serve answers requests, and receives the answers for Ask, until the context
+// ends. A request that arrives again gets the same answer without another call
+// of answer. If answer returns nil, the request gets no answer.
+func (e *Endpoint) Serve(ctx context.Context, answer func(request []byte) []byte) error {
 	stop := context.AfterFunc(ctx, func() { _ = e.conn.Close() })
 	defer stop()
-	buffer := make([]byte, maxBytes)
+	buffer := make([]byte, maxMessageBytes)
 	for {
 		count, from, err := e.conn.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			// A refusal by an address without listener is reported here, and
-			// says nothing about the others.
-			pause := time.NewTimer(readPause)
+			// An ICMP error for an earlier message to an address without a
+			// listener is reported here. It says nothing about other addresses.
+			pause := time.NewTimer(readRetryDelay)
 			<-pause.C
 			continue
 		}
@@ -143,51 +146,51 @@
 	}
 }
 
-// receive handles one message. One that is malformed or not authentic is
-// dropped, like one that was lost.
-func (e *Endpoint) receive(from netip.AddrPort, message []byte, answer func(question []byte) []byte) {
-	if len(message) < headBytes {
+// receive handles one message. A malformed or unauthentic one is dropped, as if
+// it had been lost.
+func (e *Endpoint) receive(from netip.AddrPort, message []byte, answer func(request []byte) []byte) {
+	if len(message) < headerBytes {
 		return
 	}
 	id := binary.BigEndian.Uint64(message[1:])
 	switch kind(message[0]) {
 	case kindAnswer:
 		e.mu.Lock()
-		asked := e.pending[id]
+		waiting := e.pending[id]
 		e.mu.Unlock()
-		if asked == nil || asked.to != from || !isAuthentic(message, asked.secret) {
+		if waiting == nil || waiting.to != from || !isAuthentic(message, waiting.secret) {
 			return
 		}
 		select {
-		case asked.answer <- append([]byte(nil), message[headBytes:]...):
+		case waiting.answer <- append([]byte(nil), message[headerBytes:]...):
 		default:
 		}
-	case kindQuestion:
+	case kindRequest:
 		if !isAuthentic(message, e.secret) {
 			return
 		}
 		key := answerKey{from: from, id: id}
-		encoded, known := e.answered.get(key)
+		encoded, known := e.sentAnswers.get(key)
 		if !known {
-			content := answer(message[headBytes:])
-			if content == nil || len(content)+headBytes > maxBytes {
+			content := answer(message[headerBytes:])
+			if content == nil || len(content)+headerBytes > maxMessageBytes {
 				return
 			}
 			encoded = encode(kindAnswer, id, e.secret, content)
-			e.answered.put(key, encoded)
+			e.sentAnswers.put(key, encoded)
 		}
-		// A lost answer is asked for again.
+		// If the answer is lost, the request is sent again.
 		_, _ = e.conn.WriteToUDPAddrPort(encoded, from)
 	}
 }
 
-func (e *Endpoint) register(to netip.AddrPort, secret []byte) (uint64, *question) {
-	asked := &question{answer: make(chan []byte, 1), secret: secret, to: to}
+func (e *Endpoint) register(to netip.AddrPort, secret []byte) (uint64, *pendingRequest) {
+	request := &pendingRequest{answer: make(chan []byte, 1), secret: secret, to: to}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.next++
-	e.pending[e.next] = asked
-	return e.next, asked
+	e.lastID++
+	e.pending[e.lastID] = request
+	return e.lastID, request
 }
 
 func (e *Endpoint) unregister(id uint64) {
@@ -197,7 +200,7 @@
 }
 
 func encode(k kind, id uint64, secret, content []byte) []byte {
-	message := make([]byte, headBytes, headBytes+len(content))
+	message := make([]byte, headerBytes, headerBytes+len(content))
 	message[0] = byte(k)
 	binary.BigEndian.PutUint64(message[1:], id)
 	message = append(message, content...)
@@ -206,13 +209,13 @@
 }
 
 func isAuthentic(message, secret []byte) bool {
-	return hmac.Equal(message[1+idBytes:headBytes], tag(message, secret))
+	return hmac.Equal(message[1+idBytes:headerBytes], tag(message, secret))
 }
 
-// tag authenticates kind, id and content of a message.
+// tag returns the authentication tag over kind, id and content of a message.
 func tag(message, secret []byte) []byte {
 	digest := hmac.New(sha256.New, secret)
 	digest.Write(message[:1+idBytes])
-	digest.Write(message[headBytes:])
+	digest.Write(message[headerBytes:])
 	return digest.Sum(nil)[:tagBytes]
 }
--- a/datagram/datagram_test.go
+++ b/datagram/datagram_test.go
@@ -14,8 +14,8 @@
 	"github.com/nutmegpier/nutmegpier/datagram"
 )
 
-// bound is far longer than a question takes over loopback.
-const bound = 30 * time.Second
+// testTimeout is far longer than a request takes over loopback.
+const testTimeout = 30 * time.Second
 
 func newEndpoint(t *testing.T) *datagram.Endpoint {
 	t.Helper()
@@ -41,86 +41,87 @@
 	})
 }
 
-func silent([]byte) []byte { return nil }
+// noAnswer answers no request.
+func noAnswer([]byte) []byte { return nil }
 
-// TestAsk guards against answers that reach another question.
+// TestAsk guards against an answer that is returned for another request.
 func TestAsk(t *testing.T) {
-	asker, answerer := newEndpoint(t), newEndpoint(t)
-	serve(t, asker, silent)
-	serve(t, answerer, func(question []byte) []byte { return append([]byte("to "), question...) })
-	ctx, cancel := context.WithTimeout(t.Context(), bound)
+	client, server := newEndpoint(t), newEndpoint(t)
+	serve(t, client, noAnswer)
+	serve(t, server, func(request []byte) []byte { return append([]byte("to "), request...) })
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	failed := make(chan error, 20)
-	for i := range cap(failed) {
+	results := make(chan error, 20)
+	for i := range cap(results) {
 		go func() {
-			got, err := asker.Ask(ctx, answerer.Address(), answerer.Secret(), []byte(strconv.Itoa(i)))
+			got, err := client.Ask(ctx, server.Address(), server.Secret(), []byte(strconv.Itoa(i)))
 			if err == nil {
 				if diff := cmp.Diff("to "+strconv.Itoa(i), string(got)); diff != "" {
 					err = errors.New(diff)
 				}
 			}
-			failed <- err
+			results <- err
 		}()
 	}
-	for range cap(failed) {
-		if err := <-failed; err != nil {
+	for range cap(results) {
+		if err := <-results; err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// TestRepeatedRequest guards against a question that takes effect twice
-// because its first answer was late.
+// TestRepeatedRequest guards against a request that takes effect twice because
+// it was sent again before its first answer arrived.
 func TestRepeatedRequest(t *testing.T) {
-	asker, answerer := newEndpoint(t), newEndpoint(t)
-	serve(t, asker, silent)
+	client, server := newEndpoint(t), newEndpoint(t)
+	serve(t, client, noAnswer)
 	var answers atomic.Int32
 	release := make(chan struct{})
 	time.AfterFunc(200*time.Millisecond, func() { close(release) })
-	serve(t, answerer, func([]byte) []byte {
+	serve(t, server, func([]byte) []byte {
 		answers.Add(1)
 		<-release
 		return []byte("once")
 	})
-	ctx, cancel := context.WithTimeout(t.Context(), bound)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	if _, err := asker.Ask(ctx, answerer.Address(), answerer.Secret(), []byte("q")); err != nil {
+	if _, err := client.Ask(ctx, server.Address(), server.Secret(), []byte("q")); err != nil {
 		t.Fatal(err)
 	}
-	// The repeats were queued before this question.
-	if _, err := asker.Ask(ctx, answerer.Address(), answerer.Secret(), []byte("last")); err != nil {
+	// Copies of the first request were queued before this one.
+	if _, err := client.Ask(ctx, server.Address(), server.Secret(), []byte("last")); err != nil {
 		t.Fatal(err)
 	}
 	if got := answers.Load(); got != 2 {
-		t.Errorf("the two questions were answered %d times, want each once", got)
+		t.Errorf("answer was called %d times for two requests, want one call for each", got)
 	}
 }
 
-// TestWrongSecret guards against an answer to a question from somebody who
-// does not know the secret, and against one from a process that took over the
-// address.
+// TestWrongSecret guards against answering a request from a caller that does
+// not know the secret, and against a caller that accepts an answer from another
+// process that has taken over the address.
 func TestWrongSecret(t *testing.T) {
-	asker, answerer := newEndpoint(t), newEndpoint(t)
-	serve(t, asker, silent)
+	client, server := newEndpoint(t), newEndpoint(t)
+	serve(t, client, noAnswer)
 	var answers atomic.Int32
-	serve(t, answerer, func([]byte) []byte {
+	serve(t, server, func([]byte) []byte {
 		answers.Add(1)
 		return []byte("given")
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	_, err := asker.Ask(ctx, answerer.Address(), asker.Secret(), []byte("q"))
+	_, err := client.Ask(ctx, server.Address(), client.Secret(), []byte("q"))
 	var failure *datagram.Error
 	if !errors.As(err, &failure) || failure.Kind != datagram.KindUnreachable {
-		t.Errorf("error %v, want that nobody answered", err)
+		t.Errorf("error %v, want kind Unreachable", err)
 	}
 	if answers.Load() != 0 {
-		t.Error("the question was answered")
+		t.Error("the request with a wrong secret was answered")
 	}
 }
 
-// TestInvalidRequest guards against questions that can't arrive and that are
-// waited for.
+// TestInvalidRequest guards against waiting for the answer to a request that
+// can't be sent.
 func TestInvalidRequest(t *testing.T) {
 	e := newEndpoint(t)
 	for _, test := range []struct {
@@ -135,30 +136,30 @@
 			_, err := e.Ask(t.Context(), test.address, e.Secret(), test.content)
 			var failure *datagram.Error
 			if !errors.As(err, &failure) || failure.Kind != datagram.KindInvalid {
-				t.Errorf("error %v, want an invalid question", err)
+				t.Errorf("error %v, want kind Invalid", err)
 			}
 		})
 	}
 }
 
-// FuzzReceive guards against messages that stop an endpoint.
+// FuzzReceive guards against messages that make an endpoint stop serving.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte("q"))
 	f.Add([]byte("a12345678abcdefghijklmnop"))
 	f.Add([]byte("q12345678abcdefghijklmnopcontent"))
 	f.Fuzz(func(t *testing.T, message []byte) {
-		asker, answerer := newEndpoint(t), newEndpoint(t)
-		serve(t, asker, silent)
-		serve(t, answerer, func([]byte) []byte { return []byte("alive") })
-		conn, err := net.Dial("udp4", answerer.Address())
+		client, server := newEndpoint(t), newEndpoint(t)
+		serve(t, client, noAnswer)
+		serve(t, server, func([]byte) []byte { return []byte("alive") })
+		conn, err := net.Dial("udp4", server.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 		_, _ = conn.Write(message)
-		ctx, cancel := context.WithTimeout(t.Context(), bound)
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
-		if _, err := asker.Ask(ctx, answerer.Address(), answerer.Secret(), []byte("q")); err != nil {
+		if _, err := client.Ask(ctx, server.Address(), server.Secret(), []byte("q")); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/datagram/error.go
+++ b/datagram/error.go
@@ -7,14 +7,15 @@
 
 // Kinds of errors.
 const (
-	// KindInvalid means that the question can't be sent.
+	// KindInvalid means that the request can't be sent.
 	KindInvalid Kind = "Invalid"
-	// KindUnreachable means that no answer came. The question may have arrived.
+	// KindUnreachable means that no answer came. The request may have arrived.
 	KindUnreachable Kind = "Unreachable"
 )
 
 // Error is the error type of this package.
 type Error struct {
+	// Err is the cause.
 	Err  error
 	Kind Kind
 	// Op is the operation that failed.
--- a/feed/calibration.go
+++ b/feed/calibration.go
@@ -2,47 +2,51 @@
 
 import "time"
 
-// Calibration relates the store's steady clock to that of the instance, so
-// that an answer that came after a long wait proves more than the time at
-// which it was asked for. It isn't safe for concurrent use.
+// Calibration relates the store's monotonic clock to the clock of the instance.
+// With it, an answer that came after a long wait shows that the data was
+// current when the store answered, and not only when the request was sent. It
+// isn't safe for concurrent use.
 type Calibration struct {
-	// earliest is the latest known bound: the instance's time at the store's
-	// time zero is not before it.
-	earliest time.Time
-	known    bool
+	// originBound is a lower bound of the instance's time at which the store's
+	// clock was zero: the latest one known, which is the tightest.
+	originBound time.Time
+	calibrated  bool
 }
 
-// Observe takes in an answer and returns a time at or before the moment at
-// which the store made it. The store made it between sent and received, which
-// bounds the difference of the clocks; the bound of another answer holds as
-// well, because neither clock jumps. A store clock that went back starts anew.
+// Observe processes an answer and returns a time at or before the one at which
+// the store gave it. The store answered between sent and received, which bounds
+// the offset of the clocks. The bound from an earlier answer holds as well,
+// because neither clock jumps. If the store's clock was set back, the
+// calibration starts anew.
 func (c *Calibration) Observe(sent, received time.Time, storeTime time.Duration) time.Time {
-	earliest := sent.Add(-storeTime)
-	if !c.known || earliest.After(c.earliest) {
-		c.earliest, c.known = earliest, true
+	originBound := sent.Add(-storeTime)
+	if !c.calibrated || originBound.After(c.originBound) {
+		c.originBound, c.calibrated = originBound, true
 	}
-	moment := c.earliest.Add(storeTime)
-	if moment.After(received) {
-		// The clocks do not run alike: trust this answer alone.
-		c.earliest = earliest
+	answeredAt := c.originBound.Add(storeTime)
+	if answeredAt.After(received) {
+		// The clocks run at different rates: rely on this answer alone.
+		c.originBound = originBound
 		return sent
 	}
-	return moment
+	return answeredAt
 }
 
-// Moment returns a time at or before the store's steady time, which somebody
-// else has read. It reports false before the first own answer.
+// LocalTime converts a store time that another instance has read to a time on
+// this instance's clock, or an earlier one. Received is when that store time
+// arrived. It reports false before this instance's first own answer from the
+// store.
 func (c *Calibration) LocalTime(received time.Time, storeTime time.Duration) (time.Time, bool) {
-	moment := c.earliest.Add(storeTime)
-	if moment.After(received) {
-		// An answer can't be from later than its arrival.
-		moment = received
+	localTime := c.originBound.Add(storeTime)
+	if localTime.After(received) {
+		// The store can't have answered after the answer arrived.
+		localTime = received
 	}
-	return moment, c.known
+	return localTime, c.calibrated
 }
 
-// StoreTime returns the store's steady time at a time of the instance. It is
-// ahead by at most the time of the fastest call.
+// StoreTime converts a time of the instance to the store's clock. The result is
+// ahead of that clock by at most the time of the fastest call.
 func (c *Calibration) StoreTime(now time.Time) time.Duration {
-	return now.Sub(c.earliest)
+	return now.Sub(c.originBound)
 }
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -1,5 +1,6 @@
-// Package feed keeps a local copy of a table of the platform's store, and the
-// proof of how recent it is. It does no I/O and reads no clock.
+// Package feed keeps a local copy of a table of the platform's store, with the
+// time at which the copy was last verified to be current. It does no I/O and
+// doesn't read the clock.
 package feed
 
 import (
@@ -7,13 +8,13 @@
 	"time"
 )
 
-// Revision is the store's counter of changes. It grows with each change of any
+// Revision is the store's change counter. It increases with each change of any
 // row.
 type Revision uint64
 
-// Row is one row of a table.
+// Row is one row of a table, or a change of one.
 type Row struct {
-	// Deleted is true in a change that drops the row.
+	// Deleted is true in a change that deletes the row.
 	Deleted  bool
 	Key      string
 	Revision Revision
@@ -22,48 +23,51 @@
 
 // Snapshot is an answer of the store about a table.
 type Snapshot struct {
-	// Complete is true if Rows are all rows, and false if they are changes.
+	// Complete is true if Rows are all rows of the table, and false if they are
+	// changes.
 	Complete bool
 	// Revision is the store's counter at the moment of the answer.
 	Revision Revision
 	Rows     []Row
-	// StoreTime is the store's steady clock at the moment of the answer.
+	// StoreTime is the store's monotonic clock at the moment of the answer.
 	StoreTime time.Duration
 }
 
 // Mirror is a local copy of one table. It isn't safe for concurrent use.
 type Mirror struct {
-	// completeAt is the revision from which dropped rows are known.
-	completeAt Revision
-	dropped    map[string]Row
+	// changesKnownFrom is the revision after which all deletions are known.
+	changesKnownFrom Revision
+	// tombstones are the rows that were deleted after changesKnownFrom.
+	tombstones map[string]Row
 	loaded     bool
-	proof      time.Time
+	// verifiedAt is the latest time at which the copy was certainly current.
+	verifiedAt time.Time
 	revision   Revision
 	rows       map[string]Row
 	storeTime  time.Duration
 }
 
-// maxDropped is the number of dropped rows that are kept for those who ask for
-// changes. Rows of instances and servers are dropped a few times a minute.
-const maxDropped = 256
+// maxTombstones is the number of deleted rows that are kept for ChangesSince.
+// Rows of instances and servers are deleted a few times a minute.
+const maxTombstones = 256
 
-// NewMirror returns a copy that knows nothing yet.
+// NewMirror returns an empty copy that has not been loaded yet.
 func NewMirror() *Mirror {
-	return &Mirror{dropped: map[string]Row{}, rows: map[string]Row{}}
+	return &Mirror{tombstones: map[string]Row{}, rows: map[string]Row{}}
 }
 
-// Apply takes an answer in that shows the table at the time of proof or later.
-// It returns the rows that changed; dropped ones are marked. An answer that is
-// older than the copy changes nothing.
-func (m *Mirror) Apply(snapshot Snapshot, proof time.Time) []Row {
+// Apply processes an answer that shows the table as it was at verifiedAt or
+// later. It returns the rows that changed, with deleted ones marked. An answer
+// that is older than the copy is ignored.
+func (m *Mirror) Apply(snapshot Snapshot, verifiedAt time.Time) []Row {
 	if snapshot.Revision < m.revision {
 		return nil
 	}
 	var changed []Row
 	if snapshot.Complete {
-		changed = m.dropMissing(snapshot.Rows)
-		m.completeAt = snapshot.Revision
-		clear(m.dropped)
+		changed = m.deleteMissing(snapshot.Rows)
+		m.changesKnownFrom = snapshot.Revision
+		clear(m.tombstones)
 	}
 	for _, row := range snapshot.Rows {
 		if known, found := m.rows[row.Key]; found && known.Revision >= row.Revision {
@@ -71,47 +75,49 @@
 		}
 		if row.Deleted {
 			delete(m.rows, row.Key)
-			m.dropped[row.Key] = row
+			m.tombstones[row.Key] = row
 		} else {
 			m.rows[row.Key] = row
-			delete(m.dropped, row.Key)
+			delete(m.tombstones, row.Key)
 		}
 		changed = append(changed, row)
 	}
 	m.loaded = m.loaded || snapshot.Complete
 	m.revision = snapshot.Revision
 	m.storeTime = max(m.storeTime, snapshot.StoreTime)
-	if len(m.dropped) > maxDropped {
-		m.completeAt = m.revision
-		clear(m.dropped)
+	if len(m.tombstones) > maxTombstones {
+		m.changesKnownFrom = m.revision
+		clear(m.tombstones)
 	}
-	if proof.After(m.proof) {
-		m.proof = proof
+	if verifiedAt.After(m.verifiedAt) {
+		m.verifiedAt = verifiedAt
 	}
 	return changed
 }
 
-func (m *Mirror) dropMissing(rows []Row) []Row {
+// deleteMissing deletes the rows that a complete answer does not contain, and
+// returns them marked as deleted.
+func (m *Mirror) deleteMissing(rows []Row) []Row {
 	present := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		present[row.Key] = true
 	}
-	var dropped []Row
+	var deleted []Row
 	for key, row := range m.rows {
 		if !present[key] {
 			row.Deleted = true
-			dropped = append(dropped, row)
+			deleted = append(deleted, row)
 			delete(m.rows, key)
 		}
 	}
-	return dropped
+	return deleted
 }
 
-// Since returns what has changed after a revision, as an answer of the store at
-// the time of the last one.
+// ChangesSince returns the changes after a revision, in the form of the store's
+// answers. If not all deletions since then are known, it returns all rows.
 func (m *Mirror) ChangesSince(after Revision) Snapshot {
-	snapshot := Snapshot{Complete: after < m.completeAt, Revision: m.revision, StoreTime: m.storeTime}
-	for _, rows := range []map[string]Row{m.rows, m.dropped} {
+	snapshot := Snapshot{Complete: after < m.changesKnownFrom, Revision: m.revision, StoreTime: m.storeTime}
+	for _, rows := range []map[string]Row{m.rows, m.tombstones} {
 		for _, row := range rows {
 			if row.Revision > after || (snapshot.Complete && !row.Deleted) {
 				snapshot.Rows = append(snapshot.Rows, row)
@@ -124,7 +130,7 @@
 	return snapshot
 }
 
-// StoreTime is the store's steady time of the newest answer.
+// StoreTime returns the latest store time of an answer.
 func (m *Mirror) StoreTime() time.Duration {
 	return m.storeTime
 }
@@ -134,23 +140,23 @@
 	return m.loaded
 }
 
-// Proof is a time at which the copy was certainly the newest state.
+// VerifiedAt returns the latest time at which the copy was certainly current.
 func (m *Mirror) VerifiedAt() time.Time {
-	return m.proof
+	return m.verifiedAt
 }
 
-// Revision is the store's counter up to which changes are known.
+// Revision returns the revision up to which changes are known.
 func (m *Mirror) Revision() Revision {
 	return m.revision
 }
 
-// Row returns a row.
+// Row returns the row with a key, if there is one.
 func (m *Mirror) Row(key string) (Row, bool) {
 	row, found := m.rows[key]
 	return row, found
 }
 
-// Rows returns all rows in no order. The map must not be changed.
+// Rows returns all rows by key. The map must not be changed.
 func (m *Mirror) Rows() map[string]Row {
 	return m.rows
 }
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -12,8 +12,8 @@
 
 var begin = time.Unix(1_000_000, 0)
 
-// TestOlderAnswers guards against an answer that comes late and takes a newer
-// state back.
+// TestOlderAnswers guards against an answer that arrives late and replaces a
+// newer state.
 func TestOlderAnswers(t *testing.T) {
 	m := feed.NewMirror()
 	m.Apply(feed.Snapshot{Complete: true, Revision: 5, Rows: []feed.Row{{Key: "a", Revision: 5, Value: []byte("new")}}}, begin)
@@ -23,12 +23,13 @@
 		t.Errorf("value (-want +got):\n%s", diff)
 	}
 	if !m.VerifiedAt().Equal(begin) {
-		t.Errorf("proof %v, want %v", m.VerifiedAt(), begin)
+		t.Errorf("verified at %v, want %v", m.VerifiedAt(), begin)
 	}
 }
 
-// TestDeletedRows guards against a row that was dropped while the store forgot
-// its history, and that stays in the copy.
+// TestDeletedRows guards against a row that stays in the copy because it was
+// deleted while the store had lost its change history, so that only a complete
+// answer shows the deletion.
 func TestDeletedRows(t *testing.T) {
 	m := feed.NewMirror()
 	m.Apply(feed.Snapshot{Complete: true, Revision: 5, Rows: []feed.Row{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}}, begin)
@@ -37,25 +38,26 @@
 		t.Errorf("changes (-want +got):\n%s", diff)
 	}
 	if _, found := m.Row("a"); found {
-		t.Error("the dropped row is still there")
+		t.Error("the deleted row is still in the copy")
 	}
 }
 
-// TestObserveIsNotAfterAnswer guards against a lease that runs longer
-// than the answer proves, whatever the delays of the calls.
+// TestObserveIsNotAfterAnswer guards against a lease that runs too long because
+// an answer is taken as given later than it was, whatever the delays of the
+// calls.
 func TestObserveIsNotAfterAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c feed.Calibration
-		zero := begin.Add(-time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "zero")))
+		storeOrigin := begin.Add(-time.Duration(rapid.Int64Range(0, 1e15).Draw(t, "zero")))
 		now := begin
 		for range rapid.IntRange(1, 30).Draw(t, "calls") {
 			sent := now
-			moment := sent.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "there")) * time.Millisecond)
-			received := moment.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "back")) * time.Millisecond)
+			answeredAt := sent.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "there")) * time.Millisecond)
+			received := answeredAt.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "back")) * time.Millisecond)
 			now = received.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
-			proved := c.Observe(sent, received, moment.Sub(zero))
-			if proved.After(moment) || proved.Before(sent) {
-				t.Fatalf("proved %v, the store answered at %v to a call of %v", proved, moment, sent)
+			bound := c.Observe(sent, received, answeredAt.Sub(storeOrigin))
+			if bound.After(answeredAt) || bound.Before(sent) {
+				t.Fatalf("Observe returned %v, but the store answered at %v to a call sent at %v", bound, answeredAt, sent)
 			}
 		}
 	})
--- a/feed/since_test.go
+++ b/feed/since_test.go
@@ -12,8 +12,9 @@
 	"github.com/nutmegpier/nutmegpier/feed"
 )
 
-// TestChangesSince guards against a copy of a copy that misses a change or keeps a
-// dropped row: after reloads, many drops, and a follower that was away.
+// TestChangesSince guards against a copy of a copy that misses a change or
+// keeps a deleted row: after complete answers, after more deletions than are
+// kept, and if it was not updated for long.
 func TestChangesSince(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, copied := feed.NewMirror(), feed.NewMirror()
@@ -31,7 +32,7 @@
 					delete(store, row.Key)
 				}
 			case "drops":
-				// More than are kept for those who ask.
+				// More deletions than maxTombstones.
 				for n := range 300 {
 					revision++
 					changes = append(changes, feed.Row{Deleted: true, Key: "gone-" + strconv.Itoa(n), Revision: revision})
@@ -56,20 +57,20 @@
 	})
 }
 
-// TestLocalTimeIsNotAfterAnswer guards against a lease that runs longer than a
-// relayed answer proves.
+// TestLocalTimeIsNotAfterAnswer guards against a lease that runs too long
+// because a relayed answer is taken as given later than it was.
 func TestLocalTimeIsNotAfterAnswer(t *testing.T) {
 	var c feed.Calibration
 	if _, known := c.LocalTime(begin, time.Second); known {
-		t.Error("a moment is known before the first answer")
+		t.Error("a local time is known before the first answer of the store")
 	}
-	// The store answered 10 ms after the call was sent, at its time of 1 s.
+	// The store answered 10 ms after the call was sent, when its clock was at 1 s.
 	c.Observe(begin, begin.Add(30*time.Millisecond), time.Second)
 	got, known := c.LocalTime(begin.Add(time.Minute), 3*time.Second)
 	if latest := begin.Add(2010 * time.Millisecond); !known || got.After(latest) {
-		t.Errorf("moment %v, known %t; the store answered at %v", got, known, latest)
+		t.Errorf("local time %v, known %t; the store answered at %v", got, known, latest)
 	}
 	if got, _ := c.LocalTime(begin.Add(time.Second), 3*time.Second); got.After(begin.Add(time.Second)) {
-		t.Errorf("moment %v is after the arrival", got)
+		t.Errorf("local time %v is after the arrival of the answer", got)
 	}
 }
--- a/fleet/error.go
+++ b/fleet/error.go
@@ -3,7 +3,7 @@
 // Kind classifies an Error.
 type Kind string
 
-// KindMalformed means that a text form cannot be parsed.
+// KindMalformed means that a text can't be parsed.
 const KindMalformed Kind = "Malformed"
 
 // Error is the error type of this package.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,28 +1,33 @@
-// Package fleet defines the named ids and units that all other packages share.
+// Package fleet defines the identifiers and log positions that all other
+// packages share.
 package fleet
 
-// DataCentre names a data centre, for example "gt-1".
+// DataCentre is the name of a data centre, for example "gt-1".
 type DataCentre string
 
-// Epoch tells the runs of one instance apart. It is drawn at random when the
-// process starts, so that a restarted instance never acts for its earlier run.
+// Epoch identifies one run of an instance. It is drawn at random when the
+// process starts, so that a restarted instance is never taken for its earlier
+// run.
 type Epoch uint64
 
-// GroupID names a database group. One database is served by one group, so it
-// is also the database name that a caller connects to.
+// GroupID is the name of a database group. Each database is served by one
+// group, so it is also the database name to which a caller connects.
 type GroupID string
 
-// InstanceID names an instance of nutmegpier.
+// InstanceID is the name of an instance of nutmegpier.
 type InstanceID string
 
-// RosterGeneration counts the agreed sets of instances. It only grows.
+// RosterGeneration numbers the sets of instances that were agreed on. It only
+// increases.
 type RosterGeneration uint64
 
-// ServerID names a backend server, unique over all groups.
+// ServerID is the name of a backend server. It is unique over all groups.
 type ServerID string
 
-// SheetVersion counts the published sheets. It only grows; zero means none.
+// SheetVersion numbers the published sheets. It only increases; zero means that
+// none is published.
 type SheetVersion uint64
 
-// WorkspaceID names a workspace. It is also the user name of its callers.
+// WorkspaceID is the name of a workspace. It is also the user name of its
+// callers.
 type WorkspaceID string
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -9,8 +9,8 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// TestHistoryContainsStopsAtForkPoint guards against a position that was lost
-// in a change of primary being taken as part of the newer history.
+// TestHistoryContainsStopsAtForkPoint guards against a position whose entry was
+// lost in a change of primary being taken as part of the newer history.
 func TestHistoryContainsStopsAtForkPoint(t *testing.T) {
 	history := fleet.History{{Term: 1, First: 1}, {Term: 3, First: 11}}
 	for _, tc := range []struct {
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestParseErrors guards against malformed server reports being read as a
+// TestParseErrors guards against malformed reports of servers being parsed as a
 // valid, lower position.
 func TestParseErrors(t *testing.T) {
 	for _, text := range []string{"", "1", "a/1", "1/b", "-1/2", "1/2/3"} {
--- a/fleet/history.go
+++ b/fleet/history.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// TermStart says at which log position a term began. The entries of the term
-// are those at First and later.
+// TermStart says at which log position a term begins. The log entries of the
+// term have positions from First on.
 type TermStart struct {
 	First LogPosition
 	Term  Term
 }
 
-// History lists the terms of a log in rising order. The log of a term ends
-// just before the first position of the next one (the fork point).
+// History lists the terms of a log in ascending order. The entries of a term
+// end just before the first position of the next one (the fork point).
 type History []TermStart
 
-// ParseHistory parses the text form "term:first,term:first". Terms must rise
-// and first positions must not fall.
+// ParseHistory parses the text form "term:first,term:first". Terms must be
+// strictly ascending, and first positions must not decrease.
 func ParseHistory(text string) (History, error) {
 	if text == "" {
 		return nil, nil
@@ -30,7 +30,7 @@
 			return nil, &Error{Op: "parse history", Kind: KindMalformed, Err: fmt.Errorf("%q: %w", text, err)}
 		}
 		if n := len(history); n > 0 && (start.Term <= history[n-1].Term || start.First < history[n-1].First) {
-			return nil, &Error{Op: "parse history", Kind: KindMalformed, Err: fmt.Errorf("%q: term %d is out of order", text, start.Term)}
+			return nil, &Error{Op: "parse history", Kind: KindMalformed, Err: fmt.Errorf("%q: term %d is not in ascending order of terms and first positions", text, start.Term)}
 		}
 		history = append(history, start)
 	}
@@ -38,8 +38,8 @@
 }
 
 // Contains reports whether an entry at position p is part of this history. A
-// position of a term that the history does not list is not part of it. The
-// zero position is part of each history.
+// position of a term that the history does not list is not. The zero position
+// is part of every history.
 func (h History) Contains(p Position) bool {
 	if p.IsZero() {
 		return true
@@ -48,9 +48,9 @@
 	return known && p.Log <= fork
 }
 
-// ForkPoint returns the last log position that the history keeps of a term.
-// For the newest term that is the largest position there is. It reports false
-// when the history does not list the term.
+// ForkPoint returns the last log position of a term that the history keeps. For
+// the latest term that is the largest possible position. It reports false if
+// the history does not list the term.
 func (h History) ForkPoint(term Term) (LogPosition, bool) {
 	for i, start := range h {
 		if start.Term != term {
@@ -64,7 +64,7 @@
 	return 0, false
 }
 
-// LastTerm returns the newest term, or zero for an empty history.
+// LastTerm returns the latest term, or zero for an empty history.
 func (h History) LastTerm() Term {
 	if len(h) == 0 {
 		return 0
@@ -81,18 +81,19 @@
 	return strings.Join(parts, ",")
 }
 
+// parseTermStart parses the text form "term:first".
 func parseTermStart(text string) (TermStart, error) {
 	termText, firstText, found := strings.Cut(text, ":")
 	if !found {
-		return TermStart{}, fmt.Errorf("%q: want term:first", text)
+		return TermStart{}, fmt.Errorf("%q: not of the form term:first", text)
 	}
 	term, err := strconv.ParseUint(termText, 10, 64)
 	if err != nil {
-		return TermStart{}, fmt.Errorf("%q: term: %w", text, err)
+		return TermStart{}, fmt.Errorf("%q: parse term: %w", text, err)
 	}
 	first, err := strconv.ParseUint(firstText, 10, 64)
 	if err != nil {
-		return TermStart{}, fmt.Errorf("%q: first position: %w", text, err)
+		return TermStart{}, fmt.Errorf("%q: parse first position: %w", text, err)
 	}
 	if first == 0 {
 		return TermStart{}, fmt.Errorf("%q: first position must be at least 1", text)
--- a/fleet/owners.go
+++ b/fleet/owners.go
@@ -8,22 +8,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owners returns the count instances that rank first for a key by rendezvous
-// hashing, in the order of rank. It returns all of them if fewer are live. When
-// an instance joins or leaves, only those keys change owners for which it is
-// one of the first count.
+// Owners returns the count instances that rank highest for a key in rendezvous
+// hashing, in order of rank. It returns all instances if there are fewer. If an
+// instance joins or leaves, owners change only for the keys for which it is
+// among the first count.
 func Owners(key string, live []InstanceID, count int) []InstanceID {
 	if count <= 0 {
 		return nil
 	}
 	owners := make([]candidate, 0, min(count, len(live))+1)
 	for _, instance := range live {
-		add := candidate{instance: instance, weight: OwnerWeight(key, instance)}
-		i, found := slices.BinarySearchFunc(owners, add, candidate.compare)
+		entry := candidate{instance: instance, weight: OwnerWeight(key, instance)}
+		i, found := slices.BinarySearchFunc(owners, entry, candidate.compare)
 		if found || i == count {
 			continue
 		}
-		owners = slices.Insert(owners, i, add)
+		owners = slices.Insert(owners, i, entry)
 		owners = owners[:min(count, len(owners))]
 	}
 	instances := make([]InstanceID, len(owners))
@@ -33,8 +33,8 @@
 	return instances
 }
 
-// OwnerWeight is the weight of an instance for a key: the heavier one ranks
-// first.
+// OwnerWeight returns the weight of an instance for a key. A larger weight
+// ranks higher.
 func OwnerWeight(key string, instance InstanceID) uint64 {
 	return xxhash.Sum64String(strconv.Itoa(len(key)) + ":" + key + string(instance))
 }
@@ -45,7 +45,8 @@
 	weight   uint64
 }
 
-// compare orders the heavier candidate first, and equal ones by id.
+// compare orders candidates by descending weight, and by id if the weights are
+// equal.
 func (c candidate) compare(other candidate) int {
 	return cmp.Or(cmp.Compare(other.weight, c.weight), cmp.Compare(c.instance, other.instance))
 }
--- a/fleet/position.go
+++ b/fleet/position.go
@@ -7,22 +7,24 @@
 	"strings"
 )
 
-// LogPosition is the number of a log entry inside a group's log, counted from
-// one. Zero is the empty log.
+// LogPosition is the number of an entry in a group's log, counted from one.
+// Zero is the position of the empty log.
 type LogPosition uint64
 
-// Term counts the primaries of a group. It only grows; zero means none.
+// Term numbers the successive primaries of a group. It only increases; zero
+// means that there was none.
 type Term uint64
 
-// Position is a place in the log of a group. Positions of different terms are
-// comparable only with the group's History.
+// Position is a place in the log of a group. Whether the log up to one position
+// contains one of another term can only be told from the group's History.
 type Position struct {
 	Term Term
 	Log  LogPosition
 }
 
-// Compare orders positions by term, then by log position. This is the order
-// of log ends in a promotion; it says nothing about inclusion.
+// Compare orders positions by term, then by log position. A promotion chooses
+// the longest log in this order. It does not tell whether one log contains the
+// other.
 func (p Position) Compare(other Position) int {
 	if c := cmp.Compare(p.Term, other.Term); c != 0 {
 		return c
@@ -30,7 +32,7 @@
 	return cmp.Compare(p.Log, other.Log)
 }
 
-// IsZero reports whether p is the start of the log.
+// IsZero reports whether p is the position of an empty log in no term.
 func (p Position) IsZero() bool {
 	return p == Position{}
 }
@@ -44,15 +46,15 @@
 func ParsePosition(text string) (Position, error) {
 	termText, logText, found := strings.Cut(text, "/")
 	if !found {
-		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: want term/position", text)}
+		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: not of the form term/position", text)}
 	}
 	term, err := strconv.ParseUint(termText, 10, 64)
 	if err != nil {
-		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: term: %w", text, err)}
+		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: parse term: %w", text, err)}
 	}
 	log, err := strconv.ParseUint(logText, 10, 64)
 	if err != nil {
-		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: log position: %w", text, err)}
+		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: parse log position: %w", text, err)}
 	}
 	return Position{Term: Term(term), Log: LogPosition(log)}, nil
 }
--- a/primacy/error.go
+++ b/primacy/error.go
@@ -5,7 +5,7 @@
 // Kind classifies an Error.
 type Kind string
 
-// KindMalformed means that a record can't be parsed.
+// KindMalformed means that a record or a leader row can't be parsed.
 const KindMalformed Kind = "Malformed"
 
 // Error is the error type of this package.
--- a/primacy/leadership.go
+++ b/primacy/leadership.go
@@ -7,36 +7,39 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Token is the fencing token of promotion orders. It grows with each holder.
+// Token is the fencing token that promotion orders carry. It increases each
+// time an instance takes the leader row.
 type Token uint64
 
 const (
-	// leaderRenewal is the age at which the leader renews its row: often
-	// enough that a lost answer costs nothing.
-	leaderRenewal = 1200 * time.Millisecond
-	// leaderSilence is how long the row stands still before another instance
-	// takes it: three renewals.
-	leaderSilence = 4000 * time.Millisecond
-	// leaderValid is how long a renewal lets the leader act. The rest up to
-	// leaderSilence covers an order that is on its way.
-	leaderValid = 3000 * time.Millisecond
+	// leaderRenewInterval is how often the leader renews its row. It is short
+	// enough that one lost answer does not cost the leadership.
+	leaderRenewInterval = 1200 * time.Millisecond
+	// leaderLeaseDuration is how long the row must stay unchanged before
+	// another instance takes it: about three renewal intervals.
+	leaderLeaseDuration = 4000 * time.Millisecond
+	// leaderRenewDeadline is how long after a successful renewal the leader may
+	// give orders. The difference to leaderLeaseDuration covers an order that
+	// is still in flight.
+	leaderRenewDeadline = 3000 * time.Millisecond
 )
 
-// Leader is the row that names the instance which orders promotions.
+// Leader is the row that names the instance which gives promotion orders.
 type Leader struct {
-	// Beat changes with each renewal.
+	// Beat increases with each write of the row, so that other instances see
+	// that the leader is alive.
 	Beat     uint64
 	Epoch    fleet.Epoch
 	Instance fleet.InstanceID
 	Token    Token
 }
 
-// EncodeLeader returns the text form of the row.
+// EncodeLeader returns the JSON form of the row.
 func (l Leader) EncodeLeader() ([]byte, error) {
 	return json.Marshal(l)
 }
 
-// DecodeLeader parses the text form.
+// DecodeLeader parses the JSON form of a leader row.
 func DecodeLeader(content []byte) (Leader, error) {
 	var leader Leader
 	if err := json.Unmarshal(content, &leader); err != nil {
@@ -45,47 +48,49 @@
 	return leader, nil
 }
 
-// Leadership decides when an instance takes, renews and may use the leader's
-// row. It isn't safe for concurrent use.
+// Leadership decides when an instance takes or renews the leader row, and
+// whether it may give promotion orders. It isn't safe for concurrent use.
 type Leadership struct {
 	epoch    fleet.Epoch
 	instance fleet.InstanceID
-	// renewed is when the last renewal that succeeded was sent.
-	renewed time.Time
-	row     Leader
-	// seen is when the row was last seen to change, and known whether there
-	// was a look at the table at all.
-	known bool
-	seen  time.Time
+	// renewedAt is when the last successful write of the row was sent.
+	renewedAt time.Time
+	row       Leader
+	// observed is true once the row was read, and rowChangedAt is when it was
+	// last seen to change.
+	observed     bool
+	rowChangedAt time.Time
 }
 
-// NewLeadership returns the state of an instance that does not lead.
+// NewLeadership returns the state of an instance that is not the leader.
 func NewLeadership(instance fleet.InstanceID, epoch fleet.Epoch) *Leadership {
 	return &Leadership{epoch: epoch, instance: instance}
 }
 
-// Observe takes in the row as it was read. A missing row is the zero Leader.
+// Observe processes a read of the row. A missing row is passed as the zero
+// Leader.
 func (l *Leadership) Observe(now time.Time, row Leader) {
-	if !l.known || row != l.row {
-		l.seen = now
+	if !l.observed || row != l.row {
+		l.rowChangedAt = now
 	}
-	l.known = true
+	l.observed = true
 	l.row = row
 }
 
-// Next returns the row to write now under the condition that nobody wrote it
-// since it was read, if there is one to write.
+// Next returns the row to write now, if a write is due. The write must be
+// conditional on the row being unchanged since it was read.
 func (l *Leadership) Next(now time.Time) (Leader, bool) {
-	if !l.known {
+	if !l.observed {
 		return Leader{}, false
 	}
 	next := l.row
 	next.Beat++
 	switch {
-	case l.holds():
-		return next, now.Sub(l.renewed) >= leaderRenewal
-	case l.row.Instance == "" || l.row.Instance == l.instance || now.Sub(l.seen) >= leaderSilence:
-		// An earlier run of this instance has certainly ended.
+	case l.isHolder():
+		return next, now.Sub(l.renewedAt) >= leaderRenewInterval
+	case l.row.Instance == "" || l.row.Instance == l.instance || now.Sub(l.rowChangedAt) >= leaderLeaseDuration:
+		// If the row names another epoch of this instance, that process has
+		// certainly ended, so its lease need not expire first.
 		next.Epoch, next.Instance = l.epoch, l.instance
 		next.Token++
 		return next, true
@@ -94,23 +99,26 @@
 	}
 }
 
-// Written says that the row was written by a call that was sent at a time.
+// WriteSucceeded records that the row was written by a call sent at the given
+// time.
 func (l *Leadership) WriteSucceeded(sent time.Time, row Leader) {
 	l.row = row
-	l.seen = sent
-	l.renewed = sent
+	l.rowChangedAt = sent
+	l.renewedAt = sent
 }
 
-// Token returns the fencing token while the instance may give orders.
+// Token returns the fencing token, and whether the instance may give orders
+// now.
 func (l *Leadership) Token(now time.Time) (Token, bool) {
-	return l.row.Token, l.holds() && now.Sub(l.renewed) < leaderValid
+	return l.row.Token, l.isHolder() && now.Sub(l.renewedAt) < leaderRenewDeadline
 }
 
-// Holder is the instance that the row names.
+// Holder returns the instance that the row names.
 func (l *Leadership) Holder() fleet.InstanceID {
 	return l.row.Instance
 }
 
-func (l *Leadership) holds() bool {
+// isHolder reports whether the row names this run of the instance.
+func (l *Leadership) isHolder() bool {
 	return l.row.Instance == l.instance && l.row.Epoch == l.epoch
 }
--- a/primacy/model_test.go
+++ b/primacy/model_test.go
@@ -12,77 +12,85 @@
 	"github.com/nutmegpier/nutmegpier/primacy"
 )
 
-// modelSteps is the number of steps of one run, about a minute and a half.
+// modelSteps is the number of steps of one run, about a minute and a half of
+// model time.
 const modelSteps = 1200
 
-// modelFaults are deliberate mistakes that the model must find.
+// modelFaults are deliberate faults in the protocol that the model must detect.
 type modelFaults struct {
-	// earlyTarget chooses the target without waiting for the instances.
-	earlyTarget bool
-	// noBound lets an instance trust looks from before its row was visible.
-	noBound bool
-	// ordersForgotten records one order, however many were given.
-	ordersForgotten bool
-	// shortLease waits two seconds less than leases last.
-	shortLease bool
+	// skipConfirmations chooses the target without waiting for the instances to
+	// leave the primary.
+	skipConfirmations bool
+	// trustEarlyReads lets an instance count reads of the record from before
+	// its own row was visible.
+	trustEarlyReads bool
+	// countOneOrder records at most one order, however many are given.
+	countOneOrder bool
+	// shortLeaseWait waits two seconds less than leases last.
+	shortLeaseWait bool
 }
 
-// model is a store, servers and instances whose calls are delayed, lost and
-// performed late, and which freeze.
+// model simulates a store, servers and instances. Calls are delayed, lost or
+// take effect late, and instances pause and restart.
 type model struct {
 	err    error
 	faults modelFaults
 	now    time.Time
-	random *rand.Rand
+	rng    *rand.Rand
 
 	record primacy.Record
 	rows   map[int]rowState
 	leader primacy.Leader
 
-	// promoted is the server that leads, and generation the one of the record
-	// whose primary it replaced.
-	leads      fleet.ServerID
-	term       fleet.Term
-	orders     []order
-	tokens     map[primacy.Token]int
-	lastToken  primacy.Token
-	instances  []*modelInstance
-	promotions int
+	// primary is the server that is the primary now, in term.
+	primary       fleet.ServerID
+	term          fleet.Term
+	pendingOrders []order
+	tokenHolders  map[primacy.Token]int
+	lastToken     primacy.Token
+	instances     []*modelInstance
+	promotions    int
 }
 
+// rowState is an instance's member row.
 type rowState struct {
 	// at is when the row was sent.
-	at   time.Time
-	beat int
-	left primacy.Generation
+	at             time.Time
+	heartbeat      int
+	leftGeneration primacy.Generation
 }
 
 type order struct {
+	// at is when the order takes effect.
 	at     time.Time
 	target fleet.ServerID
 }
 
-// modelInstance is one instance with its own view.
+// modelInstance is one instance with its own view of the system.
 type modelInstance struct {
-	id       int
-	presence primacy.Presence
-	proof    time.Time
-	watch    primacy.PrimaryLease
-	left     primacy.Generation
-	beat     int
-	frozen   time.Time
-	// noReads and noWrites are the ends of cuts from the store.
-	noReads  time.Time
-	noWrites time.Time
+	id             int
+	presence       primacy.Presence
+	lastReadAt     time.Time
+	lease          primacy.PrimaryLease
+	leftGeneration primacy.Generation
+	heartbeat      int
+	pausedUntil    time.Time
+	// readsBlockedUntil and writesBlockedUntil are when the instance can reach
+	// the store again.
+	readsBlockedUntil  time.Time
+	writesBlockedUntil time.Time
 
-	leadership *primacy.Leadership
-	leaderRow  primacy.Leader
-	members    map[int]modelMember
-	looked     time.Time
-	changed    time.Time
-	known      primacy.Record
-	permitted  primacy.Record
-	ordered    time.Time
+	leadership       *primacy.Leadership
+	leaderRow        primacy.Leader
+	members          map[int]modelMember
+	membersReadAt    time.Time
+	generationSeenAt time.Time
+	// knownRecord is the last record read as leader. The instance may give an
+	// order only while the record is equal to orderableRecord, which it wrote
+	// itself.
+	knownRecord     primacy.Record
+	orderableRecord primacy.Record
+	lastOrderAt     time.Time
 }
 
 type modelMember struct {
@@ -91,10 +99,10 @@
 
 func newModel(seed uint64, faults modelFaults) *model {
 	m := &model{
-		faults: faults, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 0)),
-		leads: "s0", term: 1,
+		faults: faults, now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 0)),
+		primary: "s0", term: 1,
 		record: primacy.Record{Generation: 1, Group: "g", Phase: primacy.PhaseServing, Primary: "s0", Term: 1},
-		rows:   map[int]rowState{}, tokens: map[primacy.Token]int{},
+		rows:   map[int]rowState{}, tokenHolders: map[primacy.Token]int{},
 	}
 	for id := range 3 {
 		m.instances = append(m.instances, m.newInstance(id))
@@ -104,13 +112,13 @@
 
 func (m *model) newInstance(id int) *modelInstance {
 	name := fleet.InstanceID(fmt.Sprintf("i%d", id))
-	epoch := fleet.Epoch(m.random.Uint64())
+	epoch := fleet.Epoch(m.rng.Uint64())
 	return &modelInstance{id: id, leadership: primacy.NewLeadership(name, epoch), members: map[int]modelMember{}}
 }
 
-// between returns a number from low to high.
-func (m *model) between(low, high int) int {
-	return low + m.random.IntN(high-low+1)
+// randomBetween returns a number from low to high, both included.
+func (m *model) randomBetween(low, high int) int {
+	return low + m.rng.IntN(high-low+1)
 }
 
 func (m *model) fail(format string, args ...any) {
@@ -119,106 +127,112 @@
 	}
 }
 
-func (m *model) lost() bool { return m.between(0, 4) == 0 }
+func (m *model) answerLost() bool { return m.randomBetween(0, 4) == 0 }
 
-// beat writes the own row; the answer may be lost.
-func (m *model) beat(i *modelInstance) {
+// heartbeat writes the instance's member row. The answer may be lost.
+func (m *model) heartbeat(i *modelInstance) {
 	sent := m.now
-	if m.now.Before(i.noWrites) {
+	if m.now.Before(i.writesBlockedUntil) {
 		return
 	}
-	i.beat++
-	m.rows[i.id] = rowState{at: sent, beat: i.beat, left: i.left}
-	m.now = m.now.Add(time.Duration(m.between(1, 300)) * time.Millisecond)
-	if !m.lost() {
+	i.heartbeat++
+	m.rows[i.id] = rowState{at: sent, heartbeat: i.heartbeat, leftGeneration: i.leftGeneration}
+	m.now = m.now.Add(time.Duration(m.randomBetween(1, 300)) * time.Millisecond)
+	if !m.answerLost() {
 		i.presence.WriteSucceeded(sent, m.now)
-		m.prove(i)
+		m.extendLease(i)
 	}
 }
 
-func (m *model) prove(i *modelInstance) {
-	if m.faults.noBound {
-		i.watch.Extend(i.proof)
+// extendLease extends the instance's lease after a successful read of the
+// record or write of its row.
+func (m *model) extendLease(i *modelInstance) {
+	if m.faults.trustEarlyReads {
+		i.lease.Extend(i.lastReadAt)
 		return
 	}
-	i.watch.Extend(i.presence.LeaseStart(i.proof))
+	i.lease.Extend(i.presence.LeaseStart(i.lastReadAt))
 }
 
-// look reads the record.
-func (m *model) look(i *modelInstance) {
+// readRecord reads the group's record and confirms that the instance left the
+// primary, if it can.
+func (m *model) readRecord(i *modelInstance) {
 	sent := m.now
 	record := m.record
-	if m.lost() || m.now.Before(i.noReads) {
+	if m.answerLost() || m.now.Before(i.readsBlockedUntil) {
 		return
 	}
-	i.proof = sent
-	bound := i.presence.LeaseStart(sent)
-	if m.faults.noBound {
-		bound = sent
+	i.lastReadAt = sent
+	leaseStart := i.presence.LeaseStart(sent)
+	if m.faults.trustEarlyReads {
+		leaseStart = sent
 	}
-	i.watch.Observe(m.now, record, bound)
-	m.prove(i)
-	if generation, confirmed := i.watch.ConfirmLeave(m.now); confirmed {
-		i.left = generation
+	i.lease.Observe(m.now, record, leaseStart)
+	m.extendLease(i)
+	if generation, confirmed := i.lease.ConfirmLeave(m.now); confirmed {
+		i.leftGeneration = generation
 	}
 }
 
-// lead takes the leader's next step.
-func (m *model) lead(i *modelInstance) {
-	if !m.now.Before(i.noReads) {
+// runLeader takes or renews the leader row, and takes the next step of a change
+// if the instance is the leader.
+func (m *model) runLeader(i *modelInstance) {
+	if !m.now.Before(i.readsBlockedUntil) {
 		i.leaderRow = m.leader
 		i.leadership.Observe(m.now, m.leader)
 	}
-	if next, due := i.leadership.Next(m.now); due && !m.now.Before(i.noWrites) && i.leaderRow == m.leader {
+	if next, due := i.leadership.Next(m.now); due && !m.now.Before(i.writesBlockedUntil) && i.leaderRow == m.leader {
 		i.leaderRow = next
 		m.leader = next
-		if !m.lost() {
+		if !m.answerLost() {
 			i.leadership.WriteSucceeded(m.now, next)
 		}
 	}
 	token, leading := i.leadership.Token(m.now)
-	if !leading || m.now.Before(i.noReads) {
+	if !leading || m.now.Before(i.readsBlockedUntil) {
 		return
 	}
-	if other, used := m.tokens[token]; used && other != i.id {
-		m.fail("instances %d and %d lead with token %d", other, i.id, token)
+	if other, used := m.tokenHolders[token]; used && other != i.id {
+		m.fail("instances %d and %d are both leader with token %d", other, i.id, token)
 	}
-	m.tokens[token] = i.id
-	m.lookAtMembers(i)
-	if i.known.Generation != m.record.Generation {
-		i.changed, i.ordered = m.now, time.Time{}
+	m.tokenHolders[token] = i.id
+	m.readMembers(i)
+	if i.knownRecord.Generation != m.record.Generation {
+		i.generationSeenAt, i.lastOrderAt = m.now, time.Time{}
 	}
-	i.known = m.record
+	i.knownRecord = m.record
 	m.step(i, token)
 }
 
-func (m *model) lookAtMembers(i *modelInstance) {
-	i.looked = m.now
+func (m *model) readMembers(i *modelInstance) {
+	i.membersReadAt = m.now
 	for id, row := range m.rows {
 		i.members[id] = modelMember{row: row}
 	}
 }
 
+// step takes the step that Decide returns for the instance's view, and records
+// a promotion order with a random delay.
 func (m *model) step(i *modelInstance, token primacy.Token) {
-	situation := primacy.Situation{GenerationSeenAt: i.changed, LastOrderAt: i.ordered, OrderPending: m.record.Target != "" && m.record == i.permitted, Record: m.record}
-	if m.faults.shortLease {
+	situation := primacy.Situation{GenerationSeenAt: i.generationSeenAt, LastOrderAt: i.lastOrderAt, OrderPending: m.record.Target != "" && m.record == i.orderableRecord, Record: m.record}
+	if m.faults.shortLeaseWait {
 		situation.GenerationSeenAt = situation.GenerationSeenAt.Add(-2 * time.Second)
 	}
-	suspected := m.between(0, 1) == 0
+	suspected := m.randomBetween(0, 1) == 0
 	for _, member := range i.members {
 		situation.Members = append(situation.Members, primacy.Member{
-			Left:        member.row.left,
-			Live:        !m.faults.earlyTarget && !primacy.IsLeaseExpired(i.looked.Sub(member.row.at)),
+			Left:        member.row.leftGeneration,
+			Live:        !m.faults.skipConfirmations && !primacy.IsLeaseExpired(i.membersReadAt.Sub(member.row.at)),
 			Unreachable: suspected,
 		})
 	}
-	if suspected && m.faults.earlyTarget {
+	if suspected && m.faults.skipConfirmations {
 		situation.Members = append(situation.Members, primacy.Member{Live: true, Left: 1 << 40, Unreachable: true})
 	}
 	for s := range 3 {
 		id := fleet.ServerID(fmt.Sprintf("s%d", s))
 		role, term := primacy.RoleReplica, fleet.Term(1)
-		if id == m.leads {
+		if id == m.primary {
 			role, term = primacy.RolePrimary, m.term
 		}
 		situation.Servers = append(situation.Servers, primacy.Server{Eligible: true, ID: id, Registered: true, Role: role, StatusAt: m.now, Term: term})
@@ -227,98 +241,100 @@
 	switch step.Kind {
 	case primacy.StepWrite:
 		step.Record.Group = "g"
-		if m.faults.ordersForgotten {
+		if m.faults.countOneOrder {
 			step.Record.Orders = min(step.Record.Orders, 1)
-			i.ordered = time.Time{}
+			i.lastOrderAt = time.Time{}
 		}
 		m.record = step.Record
-		i.permitted = step.Record
+		i.orderableRecord = step.Record
 	case primacy.StepPromote:
 		if token < m.lastToken {
-			m.fail("an order with token %d came after one with %d", token, m.lastToken)
+			m.fail("promotion order with token %d was given after one with token %d", token, m.lastToken)
 		}
 		m.lastToken = token
-		i.ordered, i.permitted = m.now, primacy.Record{}
-		late := time.Duration(max(0, m.between(-6000, 6000))) * time.Millisecond
-		m.orders = append(m.orders, order{at: m.now.Add(late), target: step.Target})
+		i.lastOrderAt, i.orderableRecord = m.now, primacy.Record{}
+		delay := time.Duration(max(0, m.randomBetween(-6000, 6000))) * time.Millisecond
+		m.pendingOrders = append(m.pendingOrders, order{at: m.now.Add(delay), target: step.Target})
 	}
 }
 
-// effects lets orders take effect whose time has come.
-func (m *model) effects() {
-	var waiting []order
-	for _, o := range m.orders {
+// applyDueOrders lets the orders take effect whose time has come.
+func (m *model) applyDueOrders() {
+	var notDue []order
+	for _, o := range m.pendingOrders {
 		switch {
 		case o.at.After(m.now):
-			waiting = append(waiting, o)
-		case o.target != m.leads:
-			m.leads = o.target
+			notDue = append(notDue, o)
+		case o.target != m.primary:
+			m.primary = o.target
 			m.term++
 			m.promotions++
 		}
 	}
-	m.orders = waiting
+	m.pendingOrders = notDue
 }
 
-// check looks for an instance that would acknowledge a write of a server that
-// does not lead any more. The record is only ahead of an order, never behind.
+// check fails if an instance would acknowledge a write at a server that is no
+// longer the primary. The record is never behind the orders, because each one
+// is recorded before it is given.
 func (m *model) check() {
 	for _, i := range m.instances {
-		if m.now.Before(i.frozen) {
+		if m.now.Before(i.pausedUntil) {
 			continue
 		}
-		record := i.watch.Record()
+		record := i.lease.Record()
 		generation := record.Generation
 		if record.Phase == primacy.PhaseChanging {
 			generation--
 		}
-		if record.Primary != m.leads && i.watch.Exclusive(m.now, generation) {
-			m.fail("instance %d uses %s, but %s leads", i.id, record.Primary, m.leads)
+		if record.Primary != m.primary && i.lease.Exclusive(m.now, generation) {
+			m.fail("instance %d holds a lease on %s, but the primary is %s", i.id, record.Primary, m.primary)
 		}
 	}
 }
 
-// run takes steps until something is wrong.
+// run takes steps until the model fails or all are taken.
 func (m *model) run(steps int) error {
 	for step := 0; step < steps && m.err == nil; step++ {
-		m.now = m.now.Add(time.Duration(m.between(0, 150)) * time.Millisecond)
-		m.effects()
+		m.now = m.now.Add(time.Duration(m.randomBetween(0, 150)) * time.Millisecond)
+		m.applyDueOrders()
 		m.check()
-		m.act(m.between(0, len(m.instances)-1))
-		m.effects()
+		m.randomAction(m.randomBetween(0, len(m.instances)-1))
+		m.applyDueOrders()
 		m.check()
 	}
 	return m.err
 }
 
-// act lets one instance do something.
-func (m *model) act(index int) {
+// randomAction lets one instance take a random action.
+func (m *model) randomAction(index int) {
 	i := m.instances[index]
-	if m.now.Before(i.frozen) {
+	if m.now.Before(i.pausedUntil) {
 		return
 	}
-	switch action := m.between(0, 99); {
+	switch action := m.randomBetween(0, 99); {
 	case action < 30:
-		m.beat(i)
+		m.heartbeat(i)
 	case action < 60:
-		m.look(i)
+		m.readRecord(i)
 	case action < 94:
-		m.lead(i)
+		m.runLeader(i)
 	case action < 95:
 		m.instances[index] = m.newInstance(index)
 	case action < 97:
-		i.noReads = m.now.Add(time.Duration(m.between(0, 9000)) * time.Millisecond)
+		i.readsBlockedUntil = m.now.Add(time.Duration(m.randomBetween(0, 9000)) * time.Millisecond)
 	case action < 99:
-		i.noWrites = m.now.Add(time.Duration(m.between(0, 12000)) * time.Millisecond)
+		i.writesBlockedUntil = m.now.Add(time.Duration(m.randomBetween(0, 12000)) * time.Millisecond)
 	default:
-		i.frozen = m.now.Add(time.Duration(m.between(0, 9000)) * time.Millisecond)
+		i.pausedUntil = m.now.Add(time.Duration(m.randomBetween(0, 9000)) * time.Millisecond)
 	}
 }
 
 // TestNoUseOfReplacedPrimary guards against a write that is acknowledged at a
 // primary after another server was promoted, and against two instances that
-// order promotions with the same token or a lower one, while instances freeze,
-// restart and lose answers, and orders take effect late.
+// order promotions with the same fencing token, or one with a lower token after
+// one with a higher. Instances pause, restart and lose answers, and orders take
+// effect late.
 func TestNoUseOfReplacedPrimary(t *testing.T) {
 	promotions := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -337,10 +353,10 @@
 func TestModelFindsFaults(t *testing.T) {
 	const seeds = 4000
 	for name, faults := range map[string]modelFaults{
-		"target chosen early": {earlyTarget: true},
-		"lease cut short":     {shortLease: true},
-		"looks unbounded":     {noBound: true},
-		"orders forgotten":    {ordersForgotten: true},
+		"target chosen before instances left": {skipConfirmations: true},
+		"lease wait too short":                {shortLeaseWait: true},
+		"reads before the row was visible":    {trustEarlyReads: true},
+		"only one order counted":              {countOneOrder: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
@@ -349,7 +365,7 @@
 					return
 				}
 			}
-			t.Errorf("the model does not find the fault in %d runs", seeds)
+			t.Errorf("the model did not detect the fault in %d runs", seeds)
 		})
 	}
 }
--- a/primacy/presence.go
+++ b/primacy/presence.go
@@ -2,50 +2,58 @@
 
 import "time"
 
-// Presence is when an instance last wrote the row by which a change of primary
-// knows whom to wait for. It isn't safe for concurrent use.
+// Presence tracks when an instance wrote its own member row. A change of
+// primary waits only for the instances whose rows are recent, so the instance
+// may use a primary only while its row is. It isn't safe for concurrent use.
 type Presence struct {
-	since   time.Time
-	written time.Time
+	// visibleSince is when the first of the current series of timely writes was
+	// answered.
+	visibleSince time.Time
+	// lastWrite is when the last successful write was sent.
+	lastWrite time.Time
 }
 
-// Written says that the row was written by a call between two times. It reports
-// whether the row may have counted as silent before.
-func (p *Presence) WriteSucceeded(sent, answered time.Time) (began bool) {
-	began = p.written.IsZero() || sent.Sub(p.written) >= LeaseTime
-	if began {
-		p.since = answered
+// WriteSucceeded records a write of the row by a call that was sent and
+// answered at the given times. It reports whether the row may have been missing
+// or expired before.
+func (p *Presence) WriteSucceeded(sent, answered time.Time) (newlyVisible bool) {
+	newlyVisible = p.lastWrite.IsZero() || sent.Sub(p.lastWrite) >= LeaseTime
+	if newlyVisible {
+		p.visibleSince = answered
 	}
-	p.written = sent
-	return began
+	p.lastWrite = sent
+	return newlyVisible
 }
 
-// End says that the row is dropped.
+// Reset records that the row is deleted.
 func (p *Presence) Reset() {
 	*p = Presence{}
 }
 
-// At is when the last write was sent that succeeded.
+// LastWrite returns when the last successful write was sent, or the zero time.
 func (p *Presence) LastWrite() time.Time {
-	return p.written
+	return p.lastWrite
 }
 
-// Bound returns the time up to which a look at the records lets the instance
-// use primaries. A look from before the row was visible proves nothing, because
-// a change may not have waited for this instance.
-func (p *Presence) LeaseStart(proof time.Time) time.Time {
+// LeaseStart returns the time from which the leases on primaries run, given the
+// time at which the records were last verified to be current. That is no later
+// than the last write of the row. A verification from before the row was
+// visible counts for nothing, because a change of primary may not have waited
+// for this instance: the result is then the zero time.
+func (p *Presence) LeaseStart(verifiedAt time.Time) time.Time {
 	switch {
-	case p.written.IsZero() || proof.Before(p.since):
+	case p.lastWrite.IsZero() || verifiedAt.Before(p.visibleSince):
 		return time.Time{}
-	case p.written.Before(proof):
-		return p.written
+	case p.lastWrite.Before(verifiedAt):
+		return p.lastWrite
 	default:
-		return proof
+		return verifiedAt
 	}
 }
 
-// IsLeaseExpired reports whether the lease of an instance has certainly ended. Age is
-// the time on the store's clock from when the row was sent to a look at it.
+// IsLeaseExpired reports whether the leases of an instance have certainly
+// expired. Age is the time on the store's clock between the sending and the
+// reading of the instance's row.
 func IsLeaseExpired(age time.Duration) bool {
 	return age >= LeaseTime+LeaseMargin
 }
--- a/primacy/promotion.go
+++ b/primacy/promotion.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// catchUpBound is how long a handover waits for a replica that has all of
-	// the old primary's log. Replicas are tens of milliseconds behind.
-	catchUpBound = time.Second
-	// promoteBound is how long an ordered promotion may take before the order
-	// is given again: twice the longest one in use.
-	promoteBound = 2 * time.Second
-	// statusBound is how long statuses are waited for before the choice is
-	// made among the servers that answered.
-	statusBound = 700 * time.Millisecond
-	// lateBound is how long after it an order without answer may still take
-	// effect. Calls to the platform's store do so up to 6 s later.
-	lateBound = 6 * time.Second
-	// targetBound is how long a target may stay silent before another one is
-	// chosen. An order that was lost takes effect within seconds or never.
-	targetBound = 8 * time.Second
+	// handoverCatchUpTimeout is how long a handover waits for a replica to
+	// receive all of the old primary's log. Replicas are tens of milliseconds
+	// behind.
+	handoverCatchUpTimeout = time.Second
+	// promotionRetryInterval is how long an ordered promotion may take before
+	// the order is repeated: twice the longest promotion in use.
+	promotionRetryInterval = 2 * time.Second
+	// statusTimeout is how long to wait for the statuses of servers before the
+	// target is chosen among those that answered. A status is recent if it is
+	// no older than this.
+	statusTimeout = 700 * time.Millisecond
+	// maxOrderDelay is how long after it was given an unanswered order may
+	// still take effect. Calls to the platform's store do so up to 6 s later.
+	maxOrderDelay = 6 * time.Second
+	// targetTimeout is how long a target may stay unresponsive before another
+	// one is chosen. A lost order takes effect within seconds or never.
+	targetTimeout = 8 * time.Second
 )
 
-// Role is what a server says of itself.
+// Role is the replication role that a server reports.
 type Role string
 
 // Roles of servers.
@@ -35,52 +37,56 @@
 	RoleReplica Role = "Replica"
 )
 
-// Server is what the leader knows of one server of a group.
+// Server is the leader's view of one server of a group.
 type Server struct {
-	// Eligible is false for servers that leave or stand in a data centre that
-	// is out of service.
+	// Eligible is false if the server is leaving, or if its data centre is out
+	// of service.
 	Eligible bool
 	ID       fleet.ServerID
-	// Position is the end of the received log.
+	// Position is the end of the log that the server has received.
 	Position fleet.Position
-	// RegisteredAsPrimary says that the server's registration names it as primary. It
-	// comes without a term.
+	// RegisteredAsPrimary says that the server's registration names it as
+	// primary. The registration doesn't contain the term.
 	RegisteredAsPrimary bool
-	// Registered is false for servers that are not listed any more.
+	// Registered is false if the server is no longer listed.
 	Registered bool
 	Role       Role
-	// StatusAt is when the status was asked for that Position and Role come
-	// from; zero means never.
+	// StatusAt is when the status was requested that Position, Role and Term
+	// come from. It is zero if the server has never answered.
 	StatusAt time.Time
 	Term     fleet.Term
 }
 
-// Member is what the leader knows of one instance.
+// Member is the leader's view of one instance.
 type Member struct {
-	// Left is the generation that the instance has confirmed to have left.
+	// Left is the latest generation for which the instance has confirmed that
+	// it no longer uses the primary.
 	Left Generation
-	// Live is false once the instance's own lease has certainly ended.
+	// Live is false once the instance's lease has certainly expired.
 	Live bool
 	// Unreachable says that the instance can't reach the primary.
 	Unreachable bool
 }
 
-// Situation is all that the leader's next step depends on.
+// Situation is the input of Decide for one group.
 type Situation struct {
-	// Changed is when the leader first saw the record's present generation.
+	// GenerationSeenAt is when the leader first saw the record's current
+	// generation.
 	GenerationSeenAt time.Time
-	// Members are all instances, the leader included.
+	// Members are all instances, including the leader.
 	Members []Member
-	// Ordered is when the leader last ordered the promotion of the target.
+	// LastOrderAt is when the leader last ordered the promotion of the target,
+	// or the zero time.
 	LastOrderAt time.Time
-	// Permitted says that the leader itself wrote the present record, and has
-	// not given the last of its orders yet.
+	// OrderPending says that the leader itself wrote the current record, and
+	// has not yet given the last order that it counts.
 	OrderPending bool
-	// Record is the zero Record if there is none.
+	// Record is the group's current record, or the zero Record if there is
+	// none.
 	Record  Record
 	Servers []Server
-	// SyncReplicas is the number of replicas that hold each acknowledged
-	// commit.
+	// SyncReplicas is the number of replicas that must hold a commit before it
+	// is acknowledged.
 	SyncReplicas int
 }
 
@@ -89,7 +95,7 @@
 
 // Kinds of steps.
 const (
-	// StepNone waits.
+	// StepNone does nothing.
 	StepNone StepKind = "None"
 	// StepPromote orders the promotion of the target.
 	StepPromote StepKind = "Promote"
@@ -99,7 +105,8 @@
 	StepWrite StepKind = "Write"
 )
 
-// Step is what the leader does next.
+// Step is what the leader does next for a group. Record is set for StepWrite,
+// and Target for StepPromote.
 type Step struct {
 	Kind   StepKind
 	Record Record
@@ -110,43 +117,44 @@
 func Decide(now time.Time, s Situation) Step {
 	switch {
 	case s.Record.Generation == 0:
-		return s.first(now)
+		return s.decideInitial(now)
 	case s.Record.Phase == PhaseServing:
-		return s.serving(now)
+		return s.decideServing(now)
 	case s.Record.Target != "":
-		return s.promoting(now)
+		return s.decidePromoting(now)
 	default:
-		return s.changing(now)
+		return s.decideChanging(now)
 	}
 }
 
-// first finds the primary of a group without a record.
-func (s Situation) first(now time.Time) Step {
-	if !s.fresh(now) {
+// decideInitial writes the first record of a group, once its primary is known.
+func (s Situation) decideInitial(now time.Time) Step {
+	if !s.allStatusesRecent(now) {
 		return Step{Kind: StepStatus}
 	}
-	primary, found := s.leading()
+	primary, found := s.currentPrimary()
 	if !found {
 		return Step{Kind: StepStatus}
 	}
 	return Step{Kind: StepWrite, Record: Record{Generation: 1, Phase: PhaseServing, Primary: primary.ID, Term: primary.Term}}
 }
 
-// serving starts a change when the primary is to be replaced.
-func (s Situation) serving(now time.Time) Step {
+// decideServing starts a change if the primary must be replaced.
+func (s Situation) decideServing(now time.Time) Step {
 	primary, known := s.server(s.Record.Primary)
 	next := Record{Generation: s.Record.Generation + 1, Phase: PhaseChanging, Primary: s.Record.Primary, Term: s.Record.Term}
-	if other, found := s.leading(); found && other.ID != s.Record.Primary && other.Term > s.Record.Term {
+	if newer, found := s.currentPrimary(); found && newer.ID != s.Record.Primary && newer.Term > s.Record.Term {
 		next.Reason = ReasonReplaced
 		return Step{Kind: StepWrite, Record: next}
 	}
-	// An order too many may still come and would undo a further change.
-	late := s.Record.Orders > 1 && now.Before(s.GenerationSeenAt.Add(lateBound))
-	if late || !s.hasCandidate() {
+	// If the last promotion was ordered repeatedly, an excess order may still
+	// take effect, and would undo a further change.
+	orderInFlight := s.Record.Orders > 1 && now.Before(s.GenerationSeenAt.Add(maxOrderDelay))
+	if orderInFlight || !s.hasCandidate() {
 		return Step{Kind: StepNone}
 	}
 	switch {
-	case s.unreachable():
+	case s.primaryUnreachable():
 		next.Reason = ReasonFailure
 	case known && primary.Registered && !primary.Eligible:
 		next.Reason = ReasonHandover
@@ -156,21 +164,22 @@
 	return Step{Kind: StepWrite, Record: next}
 }
 
-// changing waits until nobody uses the old primary, and chooses the target.
-func (s Situation) changing(now time.Time) Step {
-	if !s.allLeft(now) {
+// decideChanging waits until no instance uses the old primary, and chooses the
+// promotion target.
+func (s Situation) decideChanging(now time.Time) Step {
+	if !s.allInstancesLeft(now) {
 		return Step{Kind: StepNone}
 	}
-	if !s.candidatesSince(s.GenerationSeenAt) && now.Before(s.GenerationSeenAt.Add(statusBound)) {
+	if !s.candidatesAnsweredSince(s.GenerationSeenAt) && now.Before(s.GenerationSeenAt.Add(statusTimeout)) {
 		return Step{Kind: StepStatus}
 	}
-	target, found := s.candidate()
-	if !found || !s.hearsCommits() {
+	target, found := s.promotionCandidate()
+	if !found || !s.coversAcknowledgedCommits() {
 		return Step{Kind: StepStatus}
 	}
 	old, known := s.server(s.Record.Primary)
 	if known && s.Record.Reason == ReasonHandover && old.StatusAt.After(s.GenerationSeenAt) &&
-		target.Position.Compare(old.Position) < 0 && now.Before(s.GenerationSeenAt.Add(catchUpBound)) {
+		target.Position.Compare(old.Position) < 0 && now.Before(s.GenerationSeenAt.Add(handoverCatchUpTimeout)) {
 		return Step{Kind: StepStatus}
 	}
 	next := s.Record
@@ -179,20 +188,22 @@
 	return Step{Kind: StepWrite, Record: next}
 }
 
-// promoting orders the promotion of the recorded target and waits for it.
-func (s Situation) promoting(now time.Time) Step {
+// decidePromoting orders the promotion of the recorded target and waits until
+// it is primary. It gives up a target that stays unresponsive.
+func (s Situation) decidePromoting(now time.Time) Step {
 	target, known := s.server(s.Record.Target)
-	leads := known && target.Role == RolePrimary && target.Term > s.Record.Term && target.StatusAt.After(s.GenerationSeenAt)
-	// A server that is full answers no status, but its registration tells.
-	claims := known && target.RegisteredAsPrimary && !s.LastOrderAt.IsZero()
-	if leads || claims {
+	isPrimary := known && target.Role == RolePrimary && target.Term > s.Record.Term && target.StatusAt.After(s.GenerationSeenAt)
+	// A server with no free connection can't be asked for its status, but its
+	// registration shows that it is primary.
+	registeredAsPrimary := known && target.RegisteredAsPrimary && !s.LastOrderAt.IsZero()
+	if isPrimary || registeredAsPrimary {
 		return Step{Kind: StepWrite, Record: Record{
 			Generation: s.Record.Generation + 1, Orders: s.Record.Orders, Phase: PhaseServing,
 			Primary: target.ID, Term: max(target.Term, s.Record.Term+1),
 		}}
 	}
-	gone := !known || !target.Registered
-	if now.After(s.GenerationSeenAt.Add(targetBound)) && (gone || target.StatusAt.Before(now.Add(-statusBound))) {
+	removed := !known || !target.Registered
+	if now.After(s.GenerationSeenAt.Add(targetTimeout)) && (removed || target.StatusAt.Before(now.Add(-statusTimeout))) {
 		next := s.Record
 		next.Target = ""
 		next.Orders = 0
@@ -202,7 +213,7 @@
 	if s.OrderPending {
 		return Step{Kind: StepPromote, Target: s.Record.Target}
 	}
-	if s.LastOrderAt.IsZero() || now.Sub(s.LastOrderAt) >= promoteBound {
+	if s.LastOrderAt.IsZero() || now.Sub(s.LastOrderAt) >= promotionRetryInterval {
 		next := s.Record
 		next.Orders++
 		return Step{Kind: StepWrite, Record: next}
@@ -210,38 +221,40 @@
 	return Step{Kind: StepStatus}
 }
 
-// allLeft reports whether no instance uses the old primary any more: each has
-// confirmed, or its lease has certainly ended.
-func (s Situation) allLeft(now time.Time) bool {
+// allInstancesLeft reports whether no instance uses the old primary any more:
+// each one has confirmed that, or its lease has certainly expired.
+func (s Situation) allInstancesLeft(now time.Time) bool {
 	if !now.Before(s.GenerationSeenAt.Add(LeaseTime + LeaseMargin)) {
 		return true
 	}
 	return !slices.ContainsFunc(s.Members, func(m Member) bool { return m.Live && m.Left < s.Record.Generation })
 }
 
-// unreachable reports whether at least half of the live instances, and one at
-// least, can't reach the primary.
-func (s Situation) unreachable() bool {
-	live, cut := 0, 0
+// primaryUnreachable reports whether at least half of the live instances, and
+// at least one, can't reach the primary.
+func (s Situation) primaryUnreachable() bool {
+	live, unreachable := 0, 0
 	for _, m := range s.Members {
 		if m.Live {
 			live++
 			if m.Unreachable {
-				cut++
+				unreachable++
 			}
 		}
 	}
-	return cut > 0 && 2*cut >= live
+	return unreachable > 0 && 2*unreachable >= live
 }
 
-// leading returns the server that leads the latest term.
-func (s Situation) leading() (Server, bool) {
-	return best(s.Servers, func(server Server) bool { return server.Role == RolePrimary && !server.StatusAt.IsZero() })
+// currentPrimary returns the server that reports to be primary, in the latest
+// term if there are several.
+func (s Situation) currentPrimary() (Server, bool) {
+	return mostAdvanced(s.Servers, func(server Server) bool { return server.Role == RolePrimary && !server.StatusAt.IsZero() })
 }
 
-// hearsCommits reports whether enough replicas have answered since the change
-// that one of them holds the last acknowledged commit.
-func (s Situation) hearsCommits() bool {
+// coversAcknowledgedCommits reports whether enough replicas have answered since
+// the change that at least one of them holds the last acknowledged commit.
+// Without synchronous replicas there is no such number, and it returns true.
+func (s Situation) coversAcknowledgedCommits() bool {
 	replicas, answered := 0, 0
 	for _, server := range s.Servers {
 		if server.ID == s.Record.Primary {
@@ -255,25 +268,29 @@
 	return s.SyncReplicas == 0 || answered >= replicas-s.SyncReplicas+1
 }
 
+// hasCandidate reports whether another server could be promoted, whether or not
+// it answers.
 func (s Situation) hasCandidate() bool {
 	return slices.ContainsFunc(s.Servers, func(server Server) bool {
 		return server.Registered && server.Eligible && server.ID != s.Record.Primary
 	})
 }
 
-// candidate returns the server with the longest log of those that answered
-// since the change, and can take the lead. A server that leads a later term
-// already comes first.
-func (s Situation) candidate() (Server, bool) {
-	if leading, found := s.leading(); found && leading.Term > s.Record.Term && leading.StatusAt.After(s.GenerationSeenAt) {
-		return leading, true
+// promotionCandidate returns the server with the longest log among those that
+// have answered since the change and can be promoted. A server that is already
+// primary in a later term takes precedence.
+func (s Situation) promotionCandidate() (Server, bool) {
+	if currentPrimary, found := s.currentPrimary(); found && currentPrimary.Term > s.Record.Term && currentPrimary.StatusAt.After(s.GenerationSeenAt) {
+		return currentPrimary, true
 	}
-	return best(s.Servers, func(server Server) bool {
+	return mostAdvanced(s.Servers, func(server Server) bool {
 		return server.Registered && server.Eligible && server.ID != s.Record.Primary && server.StatusAt.After(s.GenerationSeenAt)
 	})
 }
 
-func best(servers []Server, accepted func(Server) bool) (Server, bool) {
+// mostAdvanced returns the accepted server with the latest term and, within it,
+// the longest log. Of equal servers it returns the one with the lowest ID.
+func mostAdvanced(servers []Server, accepted func(Server) bool) (Server, bool) {
 	var candidates []Server
 	for _, server := range servers {
 		if accepted(server) {
@@ -288,22 +305,26 @@
 	}), true
 }
 
-// fresh reports whether all registered servers answered a moment ago.
-func (s Situation) fresh(now time.Time) bool {
-	return len(s.Servers) > 0 && s.statusSince(now.Add(-statusBound))
+// allStatusesRecent reports whether all registered servers have answered within
+// statusTimeout.
+func (s Situation) allStatusesRecent(now time.Time) bool {
+	return len(s.Servers) > 0 && s.allAnsweredSince(now.Add(-statusTimeout))
 }
 
-// candidatesSince reports whether all servers that can be chosen have answered.
-// In a handover the old primary has as well, because its log must be reached.
-func (s Situation) candidatesSince(since time.Time) bool {
+// candidatesAnsweredSince reports whether all servers that can be promoted have
+// answered since a time. In a handover the old primary must have answered as
+// well, because the target has to reach the end of its log.
+func (s Situation) candidatesAnsweredSince(since time.Time) bool {
 	return !slices.ContainsFunc(s.Servers, func(server Server) bool {
-		old := server.ID == s.Record.Primary
-		asked := (server.Eligible && !old) || (old && s.Record.Reason == ReasonHandover)
-		return server.Registered && asked && !server.StatusAt.After(since)
+		isOldPrimary := server.ID == s.Record.Primary
+		required := (server.Eligible && !isOldPrimary) || (isOldPrimary && s.Record.Reason == ReasonHandover)
+		return server.Registered && required && !server.StatusAt.After(since)
 	})
 }
 
-func (s Situation) statusSince(since time.Time) bool {
+// allAnsweredSince reports whether all registered servers have answered since a
+// time.
+func (s Situation) allAnsweredSince(since time.Time) bool {
 	return !slices.ContainsFunc(s.Servers, func(server Server) bool { return server.Registered && !server.StatusAt.After(since) })
 }
 
--- a/primacy/promotion_test.go
+++ b/primacy/promotion_test.go
@@ -12,8 +12,8 @@
 
 var now = time.Unix(1_000_000, 0)
 
-// changing is a group whose primary is being replaced, a second ago.
-func changing(reason primacy.Reason) primacy.Situation {
+// changingGroup returns a group whose change of primary began a second ago.
+func changingGroup(reason primacy.Reason) primacy.Situation {
 	return primacy.Situation{
 		GenerationSeenAt: now.Add(-time.Second),
 		Members:          []primacy.Member{{Left: 2, Live: true}},
@@ -21,6 +21,7 @@
 	}
 }
 
+// replica returns a replica whose status is of the given age.
 func replica(id fleet.ServerID, log fleet.LogPosition, age time.Duration) primacy.Server {
 	return primacy.Server{
 		Eligible: true, ID: id, Position: fleet.Position{Term: 1, Log: log}, Registered: true,
@@ -28,8 +29,9 @@
 	}
 }
 
-// TestPromotionCandidate guards against a target that lacks commits of another server that
-// could be asked, that leaves, or whose position is from before the change.
+// TestPromotionCandidate guards against a promotion target that lacks commits
+// of another server that has answered, that is leaving, or whose position was
+// reported before the change.
 func TestPromotionCandidate(t *testing.T) {
 	leaving := replica("c", 9, 0)
 	leaving.Eligible = false
@@ -41,14 +43,14 @@
 		want    fleet.ServerID
 	}{
 		{name: "longest log", reason: primacy.ReasonFailure, servers: []primacy.Server{replica("a", 5, 0), replica("b", 7, 0)}, want: "b"},
-		{name: "position from before", reason: primacy.ReasonFailure, servers: []primacy.Server{replica("a", 5, 0), replica("b", 7, 2*time.Second)}, want: "a"},
+		{name: "position from before the change", reason: primacy.ReasonFailure, servers: []primacy.Server{replica("a", 5, 0), replica("b", 7, 2*time.Second)}, want: "a"},
 		{name: "leaving server", reason: primacy.ReasonFailure, servers: []primacy.Server{replica("a", 5, 0), leaving}, want: "a"},
 		{name: "none answers", reason: primacy.ReasonFailure, servers: []primacy.Server{replica("a", 5, 2*time.Second)}},
 		{name: "not enough for a synchronous commit", reason: primacy.ReasonFailure, sync: 1, servers: []primacy.Server{replica("a", 5, 0), replica("b", 7, 2*time.Second)}},
 		{name: "enough for a synchronous commit", reason: primacy.ReasonFailure, sync: 1, servers: []primacy.Server{replica("a", 5, 0), replica("b", 7, 0)}, want: "b"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s := changing(test.reason)
+			s := changingGroup(test.reason)
 			s.Servers, s.SyncReplicas = test.servers, test.sync
 			step := primacy.Decide(now, s)
 			if diff := cmp.Diff(test.want, step.Record.Target); diff != "" {
@@ -58,8 +60,9 @@
 	}
 }
 
-// TestPrimaryUnreachable guards against a primary that is replaced because a few
-// instances can't reach it, and against one that nobody replaces.
+// TestPrimaryUnreachable guards against a primary that is replaced because a
+// minority of instances can't reach it, and against an unreachable one that is
+// never replaced.
 func TestPrimaryUnreachable(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -69,8 +72,8 @@
 		{name: "nobody", members: []primacy.Member{{Live: true}, {Live: true}}, want: primacy.StepNone},
 		{name: "one of three", members: []primacy.Member{{Live: true, Unreachable: true}, {Live: true}, {Live: true}}, want: primacy.StepNone},
 		{name: "two of three", members: []primacy.Member{{Live: true, Unreachable: true}, {Live: true, Unreachable: true}, {Live: true}}, want: primacy.StepWrite},
-		{name: "one of one that lives", members: []primacy.Member{{Live: true, Unreachable: true}, {}, {}}, want: primacy.StepWrite},
-		{name: "instances that are gone", members: []primacy.Member{{Live: true}, {Unreachable: true}, {Unreachable: true}}, want: primacy.StepNone},
+		{name: "the only live instance", members: []primacy.Member{{Live: true, Unreachable: true}, {}, {}}, want: primacy.StepWrite},
+		{name: "unreachable only for instances with expired leases", members: []primacy.Member{{Live: true}, {Unreachable: true}, {Unreachable: true}}, want: primacy.StepNone},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			step := primacy.Decide(now, primacy.Situation{
@@ -85,19 +88,19 @@
 	}
 }
 
-// TestHandoverWaitsForTheLog guards against a planned handover that loses what
+// TestHandoverWaitsForTheLog guards against a handover that loses commits which
 // the old primary has acknowledged.
 func TestHandoverWaitsForTheLog(t *testing.T) {
-	s := changing(primacy.ReasonHandover)
+	s := changingGroup(primacy.ReasonHandover)
 	s.GenerationSeenAt = now.Add(-100 * time.Millisecond)
 	old := replica("old", 9, 0)
 	old.Role = primacy.RolePrimary
 	s.Servers = []primacy.Server{replica("a", 8, 0), old}
 	if step := primacy.Decide(now, s); step.Kind != primacy.StepStatus {
-		t.Errorf("step %+v, want to wait for the log", step)
+		t.Errorf("step %+v, want StepStatus until the replica has all of the log", step)
 	}
 	s.Servers[0] = replica("a", 9, 0)
 	if step := primacy.Decide(now, s); step.Record.Target != "a" {
-		t.Errorf("step %+v, want the target a", step)
+		t.Errorf("step %+v, want a write with target a", step)
 	}
 }
--- a/primacy/record.go
+++ b/primacy/record.go
@@ -1,6 +1,7 @@
-// Package primacy decides which server of a group is its primary: the record
-// that all instances agree on, the lease under which an instance uses it, and
-// the steps of a promotion. It does no I/O and reads no clock.
+// Package primacy decides which server of a group is its primary. It defines
+// the record that all instances agree on, the lease under which an instance
+// uses the primary, and the steps of a promotion. It does no I/O and doesn't
+// read the clock.
 package primacy
 
 import (
@@ -10,15 +11,16 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// LeaseTime is how long an instance may use a primary after it has last proved
-// that the record is the newest one. It bounds the wait for an instance that
-// does not confirm a change; a shorter one stops writes sooner when the store
-// is down. It stays below the 5 s in which a withdrawn key must stop working,
-// because both rest on the same proof.
+// LeaseTime is how long an instance may use a primary after the time at which
+// the record was last verified to be current. It bounds the wait for an
+// instance that does not confirm a change; a shorter lease stops writes sooner
+// when the store is down. It stays below the 5 s in which a withdrawn key must
+// stop working, because both depend on the same verification.
 const LeaseTime = 4500 * time.Millisecond
 
-// LeaseMargin is added to the wait for leases of other instances. Steady
-// clocks of two machines differ by far less in LeaseTime.
+// LeaseMargin is added to LeaseTime when waiting for the leases of other
+// instances to expire. Within LeaseTime, the monotonic clocks of two machines
+// drift apart by far less.
 const LeaseMargin = 200 * time.Millisecond
 
 // Phase says whether the primary of a record may be used.
@@ -26,9 +28,10 @@
 
 // Phases of a record.
 const (
-	// PhaseChanging means that instances leave the primary.
+	// PhaseChanging means that the primary is being replaced, and that
+	// instances must stop using it.
 	PhaseChanging Phase = "Changing"
-	// PhaseServing means that the primary serves.
+	// PhaseServing means that the primary may be used.
 	PhaseServing Phase = "Serving"
 )
 
@@ -37,42 +40,46 @@
 
 // Reasons of a change.
 const (
-	// ReasonFailure means that the primary can't be reached.
+	// ReasonFailure means that the primary is unreachable.
 	ReasonFailure Reason = "Failure"
-	// ReasonHandover means that a healthy primary is to leave. Its running
-	// transactions may end first.
+	// ReasonHandover means that a healthy primary is to be taken out of
+	// service. Its running transactions may end first.
 	ReasonHandover Reason = "Handover"
-	// ReasonReplaced means that another server leads a later term already.
+	// ReasonReplaced means that another server is already primary in a later
+	// term.
 	ReasonReplaced Reason = "Replaced"
 )
 
-// Generation counts the changes of a group's record. It only grows.
+// Generation numbers the phases of a group's record. It increases when a change
+// of primary starts, ends or gives up its target, and never decreases.
 type Generation uint64
 
-// Record is the agreed state of one group. It is written only under the
-// condition that nobody else wrote it before.
+// Record is the agreed state of one group. It is written only on condition that
+// nobody else has written it since it was read.
 type Record struct {
 	Generation Generation
 	Group      fleet.GroupID
 	// Orders is the number of promotion orders that may have been given in the
-	// last change. Each is recorded before it is given.
+	// last change. Each order is counted here before it is given.
 	Orders  int `json:",omitempty"`
 	Phase   Phase
 	Primary fleet.ServerID
 	Reason  Reason `json:",omitempty"`
 	// Target is the server that is being promoted. It is recorded before the
-	// order is given, because an order whose answer was lost may take effect
-	// later: another target would then be rolled back.
+	// order is given, because an order whose answer was lost may still take
+	// effect later, and would then roll back the promotion of a different
+	// target.
 	Target fleet.ServerID `json:",omitempty"`
 	Term   fleet.Term
 }
 
-// Encode returns the text form of the record.
+// Encode returns the JSON form of the record.
 func (r Record) Encode() ([]byte, error) {
 	return json.Marshal(r)
 }
 
-// Decode parses the text form.
+// Decode parses the JSON form of a record and checks that it has a group and a
+// known phase.
 func Decode(content []byte) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(content, &record); err != nil {
--- a/primacy/samples.go
+++ b/primacy/samples.go
@@ -7,28 +7,32 @@
 )
 
 const (
-	// sampleSpacing is the least time between two kept samples. It is small
-	// against the ages that routes accept, and bounds the ring.
-	sampleSpacing = 50 * time.Millisecond
-	// sampleKeep is how long samples are kept: the largest age of a route in
-	// use, 2.5 s, and some more.
-	sampleKeep = 4 * time.Second
+	// minSampleInterval limits the number of samples: a new sample replaces the
+	// newest one if it is less than this after the one before that. It is small
+	// compared with the maximum ages of routes.
+	minSampleInterval = 50 * time.Millisecond
+	// sampleRetention is how long samples are kept: the largest maximum age of
+	// a route in use, 2.5 s, plus a margin.
+	sampleRetention = 4 * time.Second
 )
 
+// sample is the log position of the primary at a time.
 type sample struct {
 	position fleet.Position
 	time     time.Time
 }
 
-// PositionSamples are positions of a group's log, each seen at the primary. A log that
-// holds a position holds all commits that were acknowledged before the
-// sample's time. It isn't safe for concurrent use.
+// PositionSamples holds recent positions of a group's log, each observed at its
+// primary. A replica whose log contains a sample's position has all commits
+// that were acknowledged before the sample's time. It isn't safe for concurrent
+// use.
 type PositionSamples struct {
 	samples []sample
 }
 
-// Add notes that the primary's log ended at a position, at a time when it was
-// the only primary. A sample of an earlier term than the newest is dropped.
+// Add records that the primary's log ended at a position, at a time when the
+// server was the only primary. A sample of an earlier term or time than the
+// newest one is ignored.
 func (s *PositionSamples) Add(position fleet.Position, at time.Time) {
 	n := len(s.samples)
 	if n > 0 {
@@ -42,20 +46,20 @@
 		}
 	}
 	n = len(s.samples)
-	if n >= 2 && at.Sub(s.samples[n-2].time) < sampleSpacing {
+	if n >= 2 && at.Sub(s.samples[n-2].time) < minSampleInterval {
 		s.samples[n-1] = sample{position: position, time: at}
 		return
 	}
 	s.samples = append(s.samples, sample{position: position, time: at})
 	expired := 0
-	for expired < len(s.samples)-1 && at.Sub(s.samples[expired].time) > sampleKeep {
+	for expired < len(s.samples)-1 && at.Sub(s.samples[expired].time) > sampleRetention {
 		expired++
 	}
 	s.samples = append(s.samples[:0], s.samples[expired:]...)
 }
 
-// Oldest returns the first position that was seen at or after a time. It asks
-// least of a replica.
+// FirstSince returns the first position that was observed at or after a time,
+// which is the one that the most replicas have reached.
 func (s *PositionSamples) FirstSince(notBefore time.Time) (fleet.Position, bool) {
 	for _, candidate := range s.samples {
 		if !candidate.time.Before(notBefore) {
@@ -65,21 +69,23 @@
 	return fleet.Position{}, false
 }
 
-// Requirement returns what the log must hold that a read of a session runs on:
-// the oldest position seen at or after a time, and the session's own last
-// commit. It reports false if there is no such position.
+// RequiredPosition returns the position that a replica's log must contain to
+// serve a read of a session. It covers the first position observed at or after
+// a time, and the session's own last commit. It reports false if no position
+// was observed since that time.
 //
-// The own commit counts if it is in the same term or a later one. A position
-// that was seen at a new primary before its first commit is still one of the
-// term before, so it may be behind the own commit in both. An own commit of an
-// earlier term is in the log of each later one, or was rolled back.
-func (s *PositionSamples) RequiredPosition(notBefore time.Time, own fleet.Position) (fleet.Position, bool) {
+// The own commit is used if it is of the same term as the observed position or
+// of a later one. A new primary reports a position of the previous term until
+// its first commit, so the observed position may be behind the own commit in
+// both term and log position. An own commit of an earlier term is contained in
+// the log of each later term, or was rolled back.
+func (s *PositionSamples) RequiredPosition(notBefore time.Time, ownCommit fleet.Position) (fleet.Position, bool) {
 	oldest, found := s.FirstSince(notBefore)
 	if !found {
 		return fleet.Position{}, false
 	}
-	if own.Compare(oldest) > 0 {
-		return own, true
+	if ownCommit.Compare(oldest) > 0 {
+		return ownCommit, true
 	}
 	return oldest, true
 }
--- a/primacy/samples_test.go
+++ b/primacy/samples_test.go
@@ -10,9 +10,10 @@
 	"github.com/nutmegpier/nutmegpier/primacy"
 )
 
-// TestRequiredPosition guards against a read that misses its session's own commit,
-// also the first one of a new primary whose log was last seen in the term
-// before, and against one that accepts an older log than its route.
+// TestRequiredPosition guards against a read that misses its session's own
+// commit, also if that is the first commit of a new primary whose log was last
+// observed in the previous term, and against a read from a log that is older
+// than the route allows.
 func TestRequiredPosition(t *testing.T) {
 	at := func(term fleet.Term, log fleet.LogPosition) fleet.Position {
 		return fleet.Position{Term: term, Log: log}
@@ -48,13 +49,14 @@
 	}
 }
 
-// TestFirstSince guards against a position from before the age of a route, and one
-// of an earlier term that was rolled back.
+// TestFirstSince guards against a position that was observed before the
+// requested time, and against one of an earlier term, which may have been
+// rolled back.
 func TestFirstSince(t *testing.T) {
 	var samples primacy.PositionSamples
 	samples.Add(fleet.Position{Term: 1, Log: 5}, now)
 	if _, found := samples.FirstSince(now.Add(time.Millisecond)); found {
-		t.Error("a position from before was found")
+		t.Error("found a position that was observed before the requested time")
 	}
 	samples.Add(fleet.Position{Term: 2, Log: 4}, now.Add(time.Second))
 	oldest, _ := samples.FirstSince(now.Add(-time.Second))
--- a/relay/error.go
+++ b/relay/error.go
@@ -11,15 +11,16 @@
 
 // Kinds of errors.
 const (
-	// KindUnauthorized means that the instance has another secret.
+	// KindUnauthorized means that the request carried a wrong secret.
 	KindUnauthorized Kind = "Unauthorized"
-	// KindUnavailable means that the instance gave no answer, or does not read
-	// the table.
+	// KindUnavailable means that the instance did not answer, or does not read
+	// the table from the store.
 	KindUnavailable Kind = "Unavailable"
 )
 
 // Error is the error type of this package.
 type Error struct {
+	// Err is the cause.
 	Err  error
 	Kind Kind
 	// Op is the operation that failed.
@@ -36,6 +37,7 @@
 	return e.Err
 }
 
+// kindOf returns the kind of an error of a call.
 func kindOf(err error) Kind {
 	if connect.CodeOf(err) == connect.CodeUnauthenticated {
 		return KindUnauthorized
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,6 +1,7 @@
-// Package relay hands on what one instance has read from the platform's store to
-// the others, so that not each of them reads it. A copy is as good as one from
-// the store: it carries the store's own time, by which its age is known.
+// Package relay passes on what one instance has read from the platform's store
+// to the other instances, so that not all of them load the store. A relayed
+// answer carries the store's own time, from which a receiver knows its age, as
+// with an answer of the store itself.
 package relay
 
 import (
@@ -18,27 +19,29 @@
 	"github.com/nutmegpier/nutmegpier/gen/nutmegpier/v1/nutmegpierv1connect"
 )
 
-// secretHeader carries the secret of the instance that is asked.
+// secretHeader is the header with the secret of the instance that is called.
 const secretHeader = "Nutmegpier-Secret"
 
 // Request asks for a newer answer of the store about a table.
 type Request struct {
-	// After is the revision up to which the asker knows the table.
+	// After is the revision up to which the caller knows the table.
 	After feed.Revision
-	// StoreTime is the store's steady time up to which its copy is proved.
+	// StoreTime is the store's time of the newest answer that the caller has.
 	StoreTime time.Duration
 	Table     string
-	// Wait is false if the newest answer is wanted at once.
+	// Wait makes the call wait for an answer of the store that is later than
+	// StoreTime. Otherwise the newest known answer is returned at once.
 	Wait bool
 }
 
-// Source returns what this instance has read. It returns an error if it does not
-// read the table from the store itself.
+// Source provides the tables that this instance reads.
 type Source interface {
+	// ReadChanges returns the changes of a table since a revision. It returns
+	// an error if this instance does not read the table from the store itself.
 	ReadChanges(ctx context.Context, request Request) (feed.Snapshot, error)
 }
 
-// Server answers other instances.
+// Server serves the calls of other instances.
 type Server struct {
 	secret string
 	source Source
@@ -46,7 +49,7 @@
 
 var _ nutmegpierv1connect.RelayServiceHandler = &Server{}
 
-// NewServer returns a server for askers that know the secret.
+// NewServer returns a server for callers that know the secret.
 func NewServer(secret []byte, source Source) *Server {
 	return &Server{secret: base64.StdEncoding.EncodeToString(secret), source: source}
 }
@@ -58,7 +61,7 @@
 	return mux
 }
 
-// Changes serves one request.
+// Changes serves one call.
 func (s *Server) Changes(ctx context.Context, request *connect.Request[nutmegpierv1.ChangesRequest]) (*connect.Response[nutmegpierv1.ChangesResponse], error) {
 	if subtle.ConstantTimeCompare([]byte(request.Header().Get(secretHeader)), []byte(s.secret)) != 1 {
 		return nil, connect.NewError(connect.CodeUnauthenticated, errors.New("the secret is not that of this instance"))
@@ -82,17 +85,17 @@
 	return connect.NewResponse(answer), nil
 }
 
-// Client asks other instances. It is safe for concurrent use.
+// Client calls other instances. It is safe for concurrent use.
 type Client struct {
 	http connect.HTTPClient
 }
 
-// NewClient returns a client.
+// NewClient returns a client that uses the given HTTP client.
 func NewClient(httpClient connect.HTTPClient) *Client {
 	return &Client{http: httpClient}
 }
 
-// Changes asks the instance at an address, which has a secret.
+// Changes calls the instance at an address, with the secret of that instance.
 func (c *Client) Changes(ctx context.Context, address string, secret []byte, request Request) (feed.Snapshot, error) {
 	message := connect.NewRequest(&nutmegpierv1.ChangesRequest{
 		After: uint64(request.After), StoreTimeNs: int64(request.StoreTime), Table: request.Table, Wait: request.Wait,
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -15,7 +15,7 @@
 	"github.com/nutmegpier/nutmegpier/relay"
 )
 
-// source answers with what it was asked, or fails.
+// source records the requests and returns a fixed answer or error.
 type source struct {
 	err      error
 	requests []relay.Request
@@ -34,7 +34,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestChanges guards against fields that are lost on the way.
+// TestChanges guards against fields that are lost in the conversion to and from
+// the wire format.
 func TestChanges(t *testing.T) {
 	s := &source{snapshot: feed.Snapshot{
 		Complete: true, Revision: 9, StoreTime: 3 * time.Second,
@@ -53,18 +54,18 @@
 	}
 }
 
-// TestErrors guards against answers to somebody who does not know the secret,
-// and against an instance without answer that is taken for one without changes.
+// TestErrors guards against an answer to a caller that does not know the
+// secret, and against an error that is taken for an answer without changes.
 func TestErrors(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		secret string
-		source *source
-		want   relay.Kind
-		asked  int
+		name         string
+		secret       string
+		source       *source
+		want         relay.Kind
+		wantRequests int
 	}{
 		{name: "secret", secret: "other", source: &source{}, want: relay.KindUnauthorized},
-		{name: "source", secret: "secret", source: &source{err: errors.New("not the relay")}, want: relay.KindUnavailable, asked: 1},
+		{name: "source", secret: "secret", source: &source{err: errors.New("does not read from the store")}, want: relay.KindUnavailable, wantRequests: 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := relay.NewClient(http.DefaultClient).Changes(t.Context(), serve(t, test.source), []byte(test.secret), relay.Request{Table: "t"})
@@ -72,8 +73,8 @@
 			if !errors.As(err, &failure) || failure.Kind != test.want {
 				t.Errorf("error %v, want %s", err, test.want)
 			}
-			if got := len(test.source.requests); got != test.asked {
-				t.Errorf("%d requests reached the source, want %d", got, test.asked)
+			if got := len(test.source.requests); got != test.wantRequests {
+				t.Errorf("%d requests reached the source, want %d", got, test.wantRequests)
 			}
 		})
 	}
