--- a/instance/grouppeers.go
+++ b/instance/grouppeers.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		reports = append(reports, group.SuspicionReport{
-			Instance: suspicion.By.Instance,
+			Instance: suspicion.Reporter.Instance,
 			Received: g.now(),
 			Silence:  suspicion.Silence,
 			Term:     suspicion.Term,
--- a/instance/peers.go
+++ b/instance/peers.go
@@ -135,10 +135,10 @@
 			continue
 		}
 		all = append(all, peer.Suspicion{
-			By:      peer.Member{Epoch: i.config.Epoch, Instance: i.config.Settings.Instance},
-			Group:   controller.settings.Group,
-			Silence: report.Silence,
-			Term:    report.Term,
+			Reporter: peer.Member{Epoch: i.config.Epoch, Instance: i.config.Settings.Instance},
+			Group:    controller.settings.Group,
+			Silence:  report.Silence,
+			Term:     report.Term,
 		})
 	}
 	return all
--- a/instance/poolkeeper.go
+++ b/instance/poolkeeper.go
@@ -27,7 +27,7 @@
 			return nil
 		case <-i.starved:
 			i.applyPermits()
-			_ = i.peers.AskShares(ctx)
+			_ = i.peers.RequestShares(ctx)
 		case <-ticker.C:
 		}
 	}
--- a/instance/shares.go
+++ b/instance/shares.go
@@ -24,7 +24,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), shareWait)
 	defer cancel()
-	return s.peers.AdmitOrAsk(ctx, id)
+	return s.peers.AdmitOrRequestShares(ctx, id)
 }
 
 // Permits returns the number of connections that may be open to a server.
--- a/instance/tls.go
+++ b/instance/tls.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return security{}, &Error{Op: "TLS for callers", Kind: KindSettings, Err: err}
 		}
-		result.callers = files.CallerServer
+		result.callers = files.ServerWithoutClientAuth
 	}
 	if configured.Peers.CertFile != "" {
 		files, err := peer.LoadTLS(peer.TLSFiles{
--- a/peer/config.go
+++ b/peer/config.go
@@ -51,8 +51,8 @@
 	List(ctx context.Context) ([]Listed, error)
 }
 
-// SheetLimits reads the limits out of the content of a sheet.
-type SheetLimits func(content []byte) (Limits, error)
+// LimitsParser reads the limits out of the content of a sheet.
+type LimitsParser func(content []byte) (Limits, error)
 
 // Config is what a controller depends on. All fields are required, but for
 // Events, ForwardCancel, Lease, ReleasePermits, Seeds, SheetChanged and Suspicions.
@@ -67,7 +67,7 @@
 	ForwardCancel func(processID uint32, secretKey []byte) bool
 	Instances     InstanceList
 	Lease         time.Duration
-	Limits        SheetLimits
+	Limits        LimitsParser
 	// Random returns a number that is unique for each proposal.
 	Random func() uint64
 	// ReleasePermits lets the pool give up as many of the wanted permits as it
@@ -87,8 +87,8 @@
 
 // Suspicion says that an instance cannot reach the primary of a group.
 type Suspicion struct {
-	By      Member
-	Group   fleet.GroupID
-	Silence time.Duration
-	Term    fleet.Term
+	Reporter Member
+	Group    fleet.GroupID
+	Silence  time.Duration
+	Term     fleet.Term
 }
--- a/peer/controller.go
+++ b/peer/controller.go
@@ -78,10 +78,10 @@
 	return c.ledger.Admit(now, id)
 }
 
-// AdmitOrAsk is Admit, but asks peers for shares once before it refuses. It
+// AdmitOrRequestShares is Admit, but asks peers for shares once before it refuses. It
 // takes at most a few round trips. Peers that had nothing to give are not
 // asked again for a short time, so that an overload causes no storm of calls.
-func (c *Controller) AdmitOrAsk(ctx context.Context, id fleet.WorkspaceID) workspace.Decision {
+func (c *Controller) AdmitOrRequestShares(ctx context.Context, id fleet.WorkspaceID) workspace.Decision {
 	decision := c.Admit(c.config.Clock.Now(), id)
 	if decision.Admitted || !c.Valid(c.config.Clock.Now()) || len(c.donors()) == 0 {
 		return decision
@@ -271,7 +271,7 @@
 		delete(c.suspicions, member)
 	}
 	maps.DeleteFunc(c.emptyUntil, func(_ donorKey, until time.Time) bool { return !now.Before(until) })
-	c.ledger.Advance(now, c.validity.StoreRead())
+	c.ledger.AdvanceTransitions(now, c.validity.LastStoreRead())
 	c.validity.SetHeld(c.ledger.Versions())
 	c.validity.SetQuorums(c.ledger.Quorums()...)
 	c.ledger.Renew(now, c.validity.ValidUntil(now))
--- a/peer/controller_test.go
+++ b/peer/controller_test.go
@@ -81,7 +81,7 @@
 		d.expect("outage", summary{Members: 3, Permits: 7, Rate: 30, Valid: []string{"a", "b", "c"}})
 		guest := d.start("g", 9)
 		d.settle(5 * time.Second)
-		if decision := guest.AdmitOrAsk(t.Context(), "w"); !decision.Admitted {
+		if decision := guest.AdmitOrRequestShares(t.Context(), "w"); !decision.Admitted {
 			t.Errorf("the guest refuses although its peers have shares: %+v", decision)
 		}
 		d.expect("guest", summary{Members: 3, Permits: 7, Rate: 30, Valid: []string{"a", "b", "c", "g"}})
@@ -200,7 +200,7 @@
 		refused := 0
 		for range 200 {
 			d.settle(40 * time.Millisecond)
-			if !d.running["b"].AdmitOrAsk(t.Context(), "w").Admitted {
+			if !d.running["b"].AdmitOrRequestShares(t.Context(), "w").Admitted {
 				refused++
 			}
 		}
@@ -230,7 +230,7 @@
 				// Ten times the share, so that both ask their peers.
 				for range 10 {
 					begin := time.Now()
-					d.running[id].AdmitOrAsk(t.Context(), "w")
+					d.running[id].AdmitOrRequestShares(t.Context(), "w")
 					if waited := time.Since(begin); waited > 200*time.Millisecond {
 						t.Errorf("a request at %s waited %v for shares", id, waited)
 					}
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -66,7 +66,7 @@
 		return &Error{Err: err, Kind: KindUnavailable, Op: "ask"}
 	}
 	transfer := Transfer{
-		Giver:    fromSender(answer.Msg.GetSender()),
+		Donor:    fromSender(answer.Msg.GetSender()),
 		ID:       TransferID(answer.Msg.GetTransferId()),
 		Permits:  fromPermits(answer.Msg.GetPermits()),
 		Rates:    fromRates(answer.Msg.GetRates()),
@@ -77,11 +77,11 @@
 		},
 	}
 	c.backOff(donor, wanted, transfer, donorBackoff)
-	if transfer.Giver != donor || transfer.IsEmpty() {
+	if transfer.Donor != donor || transfer.IsEmpty() {
 		return nil
 	}
 	c.mu.Lock()
-	accepted := c.ledger.Accept(c.config.Clock.Now(), transfer)
+	accepted := c.ledger.AcceptTransfer(c.config.Clock.Now(), transfer)
 	c.mu.Unlock()
 	if accepted {
 		c.event(EventSharesMoved, "from "+memberText(donor))
@@ -120,16 +120,16 @@
 // confirm tells the giver. When the call is lost, the giver asks by query.
 func (c *Controller) confirm(ctx context.Context, client nutmegpierv1connect.PeerServiceClient, transfer Transfer) {
 	answer, err := client.ConfirmTransfer(ctx, connect.NewRequest(&v1.ConfirmTransferRequest{
-		GiverEpoch: uint64(transfer.Giver.Epoch),
+		GiverEpoch: uint64(transfer.Donor.Epoch),
 		Sender:     toSender(c.self),
 		TransferId: uint64(transfer.ID),
 	}))
-	if err != nil || fromSender(answer.Msg.GetSender()) != transfer.Giver {
+	if err != nil || fromSender(answer.Msg.GetSender()) != transfer.Donor {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ledger.Settle(transfer.Giver, TransferID(answer.Msg.GetSettledBelow()))
+	c.ledger.ForgetSettledTransfers(transfer.Donor, TransferID(answer.Msg.GetSettledBelow()))
 }
 
 // donors returns the live peers, the one after this instance first, so that
@@ -166,7 +166,7 @@
 	c.fetchFrom(ctx, client, report.Held)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.validity.RecordVoucher(from, sent, milliseconds(answer.Msg.GetVoucherMs()), report.Held)
+	c.validity.RecordLeaseGrant(from, sent, milliseconds(answer.Msg.GetVoucherMs()), report.Held)
 	c.record(from, report, true, answer.Msg.GetLeaving(), answer.Msg.GetLiveness(), answer.Msg.GetSuspicions())
 }
 
@@ -187,7 +187,7 @@
 	defer c.mu.Unlock()
 	return &v1.ExchangeRequest{
 		Leaving:     c.leaving,
-		Liveness:    toLiveness(c.membership.Report(c.config.Clock.Now())),
+		Liveness:    toLiveness(c.membership.SilenceReport(c.config.Clock.Now())),
 		Sender:      toSender(c.self),
 		Suspicions:  c.ownSuspicions(),
 		Versions:    c.versionsMessage(),
@@ -242,7 +242,7 @@
 // longer than an exchange period.
 func (c *Controller) queryPending(ctx context.Context) {
 	c.mu.Lock()
-	pending := c.ledger.Pending()
+	pending := c.ledger.PendingTransfers()
 	seen := c.pendingSeen
 	c.pendingSeen = make(map[TransferID]bool, len(pending))
 	for _, transfer := range pending {
@@ -270,20 +270,20 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if answer.Msg.GetAccepted() {
-		c.ledger.Confirm(answerer, transfer.ID)
+		c.ledger.CompleteTransfer(answerer, transfer.ID)
 		return
 	}
-	c.ledger.Refused(c.config.Clock.Now(), answerer, transfer.ID)
+	c.ledger.ReclaimTransfer(c.config.Clock.Now(), answerer, transfer.ID)
 }
 
 // record takes in what a peer said of itself. The lock is held.
 func (c *Controller) record(from Member, report Report, answered, leaving bool, liveness []*v1.Liveness, suspicions []*v1.Suspicion) {
 	now := c.config.Clock.Now()
-	c.membership.RecordHeard(now, from, answered, leaving, fromLiveness(liveness))
+	c.membership.RecordMessage(now, from, answered, leaving, fromLiveness(liveness))
 	c.membership.recordHeld(from, report.Held)
 	c.ledger.RecordReport(from, report)
 	if c.ledger.Roster().Has(from) {
-		c.peerFull = max(c.peerFull, report.Full)
+		c.peerFull = max(c.peerFull, report.FullPhase)
 	}
 	c.suspicions[from] = fromSuspicions(from, suspicions)
 	c.resets[from] = report.NeedsReset
@@ -297,7 +297,7 @@
 func (c *Controller) versionsMessage() *v1.Versions {
 	message := toVersions(c.ledger.Report())
 	message.StoreReadAgeMs = -1
-	if read := c.validity.StoreRead(); !read.IsZero() {
+	if read := c.validity.LastStoreRead(); !read.IsZero() {
 		message.StoreReadAgeMs = c.config.Clock.Now().Sub(read).Milliseconds()
 	}
 	return message
--- a/peer/ledger.go
+++ b/peer/ledger.go
@@ -68,12 +68,12 @@
 // Accept takes a transfer to this instance, at most once. It reports whether
 // the shares are now held. A transfer of another generation or sheet version
 // can never be accepted later, because both only grow.
-func (l *Ledger) Accept(now time.Time, transfer Transfer) bool {
-	key := transferKey{transfer.Giver, transfer.ID}
+func (l *Ledger) AcceptTransfer(now time.Time, transfer Transfer) bool {
+	key := transferKey{transfer.Donor, transfer.ID}
 	if l.seen[key] > 0 {
 		return true
 	}
-	if transfer.Receiver != l.self || l.barred[key] > 0 || transfer.ID < l.floors[transfer.Giver] {
+	if transfer.Receiver != l.self || l.barred[key] > 0 || transfer.ID < l.floors[transfer.Donor] {
 		return false
 	}
 	if !l.settled() || transfer.Versions != l.Versions() {
@@ -172,9 +172,9 @@
 }
 
 // Advance completes the joint phase when its condition holds, and reports
-// whether shares grew. StoreRead is the time from which the newest read of the
+// whether shares grew. LastStoreRead is the time from which the newest read of the
 // head row counts.
-func (l *Ledger) Advance(now, storeRead time.Time) bool {
+func (l *Ledger) AdvanceTransitions(now, storeRead time.Time) bool {
 	hadGeneration, hadVersion := l.generation.completed, l.version.completed
 	l.confirmSelf()
 	l.generation.completed = hadGeneration || l.generation.complete(now, storeRead, l.lease)
@@ -196,7 +196,7 @@
 }
 
 // Confirm ends a transfer that this instance gave.
-func (l *Ledger) Confirm(receiver Member, id TransferID) {
+func (l *Ledger) CompleteTransfer(receiver Member, id TransferID) {
 	if transfer := l.pending[id]; transfer != nil && transfer.Receiver == receiver {
 		delete(l.pending, id)
 	}
@@ -204,8 +204,8 @@
 
 // Give takes shares out of this instance for a peer. It keeps what the recent
 // demand here needs. The shares are gone from this instance when it returns.
-func (l *Ledger) Give(now time.Time, wanted Wanted) Transfer {
-	transfer := Transfer{Giver: l.self, Receiver: wanted.Receiver, Versions: l.Versions()}
+func (l *Ledger) StartTransfer(now time.Time, wanted Wanted) Transfer {
+	transfer := Transfer{Donor: l.self, Receiver: wanted.Receiver, Versions: l.Versions()}
 	if wanted.Receiver == l.self || !l.settled() || wanted.Versions != l.Versions() || !now.Before(l.limiter.ValidUntil()) {
 		return transfer
 	}
@@ -236,12 +236,12 @@
 	return transfer
 }
 
-// IsFull reports whether the joint phase of the generation is over.
-func (l *Ledger) IsFull() bool {
+// InFullPhase reports whether the joint phase of the generation is over.
+func (l *Ledger) InFullPhase() bool {
 	return l.generation.completed
 }
 
-// JointGeneration returns the newest generation for which this instance holds
+// JointPhase returns the newest generation for which this instance holds
 // no more than the smaller share. Connections above the permits held have to
 // be closed first.
 func (l *Ledger) JointGeneration() fleet.RosterGeneration {
@@ -253,14 +253,14 @@
 	return l.roster.Generation
 }
 
-// NeedsGeneration reports whether shares were lost that only a new generation
+// NeedsReset reports whether shares were lost that only a new generation
 // brings back.
-func (l *Ledger) NeedsGeneration() bool {
+func (l *Ledger) NeedsNewGeneration() bool {
 	return l.needsReset || l.guestGifts
 }
 
 // Pending returns the given transfers whose fate is not known, oldest first.
-func (l *Ledger) Pending() []Transfer {
+func (l *Ledger) PendingTransfers() []Transfer {
 	transfers := make([]Transfer, 0, len(l.pending))
 	for _, transfer := range l.pending {
 		transfers = append(transfers, *transfer)
@@ -285,7 +285,7 @@
 
 // Query reports whether a transfer to this instance was accepted. The answer
 // no bars the transfer for good.
-func (l *Ledger) Query(giver Member, id TransferID) bool {
+func (l *Ledger) AcceptedOrReject(giver Member, id TransferID) bool {
 	key := transferKey{giver, id}
 	if l.seen[key] > 0 {
 		return true
@@ -296,7 +296,7 @@
 
 // Refused ends a given transfer that the receiver has barred. The shares come
 // back, unless a new generation has replaced them.
-func (l *Ledger) Refused(now time.Time, receiver Member, id TransferID) {
+func (l *Ledger) ReclaimTransfer(now time.Time, receiver Member, id TransferID) {
 	transfer := l.pending[id]
 	if transfer == nil || transfer.Receiver != receiver {
 		return
@@ -310,12 +310,12 @@
 	report := Report{
 		GuestGifts: l.guestGifts,
 		Held:       l.Versions(),
-		Joint:      l.JointGeneration(),
-		NeedsReset: l.NeedsGeneration(),
+		JointPhase: l.JointGeneration(),
+		NeedsReset: l.NeedsNewGeneration(),
 		PriorGifts: l.priorGifts,
 	}
-	if l.IsFull() {
-		report.Full = l.roster.Generation
+	if l.InFullPhase() {
+		report.FullPhase = l.roster.Generation
 	}
 	return report
 }
@@ -338,10 +338,10 @@
 		l.generation.guests = l.generation.guests || report.PriorGifts
 	}
 	l.version.guests = l.version.guests || report.GuestGifts || report.PriorGifts
-	if report.Joint == l.roster.Generation {
+	if report.JointPhase == l.roster.Generation {
 		l.generation.confirmed[from] = true
 	}
-	if report.Full == l.roster.Generation && report.Full > 0 {
+	if report.FullPhase == l.roster.Generation && report.FullPhase > 0 {
 		l.generation.completeByReport()
 	}
 	if report.Held.Sheet == l.limits.Version {
@@ -373,7 +373,7 @@
 
 // Settle drops the records of transfers below the given id, which the giver
 // has ended. None of them is accepted later.
-func (l *Ledger) Settle(giver Member, below TransferID) {
+func (l *Ledger) ForgetSettledTransfers(giver Member, below TransferID) {
 	l.floors[giver] = max(l.floors[giver], below)
 	for _, records := range []map[transferKey]fleet.RosterGeneration{l.seen, l.barred} {
 		for key := range records {
@@ -549,7 +549,7 @@
 	if l.roster.Generation == 0 {
 		return nil
 	}
-	if l.IsFull() || len(l.roster.Previous) == 0 {
+	if l.InFullPhase() || len(l.roster.Previous) == 0 {
 		return [][]Member{l.roster.Members}
 	}
 	return [][]Member{l.roster.Previous, l.roster.Members}
--- a/peer/membership.go
+++ b/peer/membership.go
@@ -107,7 +107,7 @@
 
 // Proposal returns the members of the next generation, or false when the
 // roster may stay as it is or this instance should leave the proposal to a
-// member of lower rank. MayEvict tells whether no voucher is outstanding.
+// member of lower rank. NoGrantOutstanding tells whether no voucher is outstanding.
 func (m *Membership) Proposal(now time.Time, roster Roster, reset bool, mayEvict func(Member) bool) ([]Member, bool) {
 	if m.proposer(now, roster) != m.self {
 		return nil, false
@@ -136,11 +136,11 @@
 	return next, true
 }
 
-// RecordHeard records a message of a member, with what it says about others.
+// RecordMessage records a message of a member, with what it says about others.
 // Answered means that it is the answer to a call of this instance. Only an
 // answer shows that another run of the same instance ended, because a request
 // of the earlier run may arrive late.
-func (m *Membership) RecordHeard(now time.Time, member Member, answered, leaving bool, liveness []Liveness) {
+func (m *Membership) RecordMessage(now time.Time, member Member, answered, leaving bool, liveness []Liveness) {
 	if m.isReplaced(member) || member.Instance == m.self.Instance {
 		return
 	}
@@ -222,7 +222,7 @@
 // Report returns what this instance tells its peers about the others. Only
 // silence is evidence, so members that answer are left out. This keeps the
 // periodic message small.
-func (m *Membership) Report(now time.Time) []Liveness {
+func (m *Membership) SilenceReport(now time.Time) []Liveness {
 	var report []Liveness
 	for member, c := range m.heard {
 		if silence := now.Sub(c.at); silence >= silentAfter {
--- a/peer/membership_test.go
+++ b/peer/membership_test.go
@@ -24,13 +24,13 @@
 func TestEpochsAreToldApart(t *testing.T) {
 	m := peer.NewMembership(start, selfA)
 	fresh := peer.Member{Epoch: 20, Instance: "b"}
-	m.RecordHeard(start, peerB, true, false, nil)
-	m.RecordHeard(start, fresh, false, false, nil)
+	m.RecordMessage(start, peerB, true, false, nil)
+	m.RecordMessage(start, fresh, false, false, nil)
 	if diff := cmp.Diff([]peer.Member{selfA, peerB}, m.Live(start)); diff != "" {
 		t.Errorf("live after a request (-want +got):\n%s", diff)
 	}
-	m.RecordHeard(start, fresh, true, false, nil)
-	m.RecordHeard(start, peerB, true, false, nil)
+	m.RecordMessage(start, fresh, true, false, nil)
+	m.RecordMessage(start, peerB, true, false, nil)
 	if diff := cmp.Diff([]peer.Member{selfA, fresh}, m.Live(start)); diff != "" {
 		t.Errorf("live after an answer (-want +got):\n%s", diff)
 	}
@@ -62,13 +62,13 @@
 			// Either A or B has the lower rank, so both are asked.
 			for _, pair := range [][2]peer.Member{{selfA, peerB}, {peerB, selfA}} {
 				m := peer.NewMembership(start, pair[0])
-				m.RecordHeard(start, peerC, true, false, nil)
-				m.RecordHeard(start, pair[1], true, false, nil)
+				m.RecordMessage(start, peerC, true, false, nil)
+				m.RecordMessage(start, pair[1], true, false, nil)
 				if tc.absent {
 					m.RecordList(start, []peer.Listed{{Instance: "a"}, {Instance: "b"}})
 				}
 				now := start.Add(tc.after)
-				m.RecordHeard(now, pair[1], true, false, []peer.Liveness{{Member: peerC, Silence: tc.reported}})
+				m.RecordMessage(now, pair[1], true, false, []peer.Liveness{{Member: peerC, Silence: tc.reported}})
 				next, ok := m.Proposal(now, roster, false, func(peer.Member) bool { return tc.mayEvict })
 				if !ok {
 					continue
@@ -89,8 +89,8 @@
 // phase can never end, because no majority of the one before remains.
 func TestMinorityProposesNoEviction(t *testing.T) {
 	m := peer.NewMembership(start, selfA)
-	m.RecordHeard(start, peerB, true, false, nil)
-	m.RecordHeard(start, peerC, true, false, nil)
+	m.RecordMessage(start, peerB, true, false, nil)
+	m.RecordMessage(start, peerC, true, false, nil)
 	m.RecordList(start, []peer.Listed{{Instance: "a"}})
 	roster := peer.Roster{Generation: 4, Members: []peer.Member{selfA, peerB, peerC}}
 	if next, ok := m.Proposal(start.Add(time.Minute), roster, false, always); ok {
@@ -102,7 +102,7 @@
 // eviction time.
 func TestLeavingMemberIsRemoved(t *testing.T) {
 	m := peer.NewMembership(start, selfA)
-	m.RecordHeard(start, peerB, true, true, nil)
+	m.RecordMessage(start, peerB, true, true, nil)
 	next, ok := m.Proposal(start, peer.Roster{Generation: 4, Members: []peer.Member{selfA, peerB}}, false, always)
 	if diff := cmp.Diff([]peer.Member{selfA}, next); !ok || diff != "" {
 		t.Errorf("proposal %v (-want +got):\n%s", ok, diff)
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -18,9 +18,9 @@
 
 func toVersions(r Report) *v1.Versions {
 	return &v1.Versions{
-		FullGeneration:   uint64(r.Full),
+		FullGeneration:   uint64(r.FullPhase),
 		GuestGifts:       r.GuestGifts,
-		JointGeneration:  uint64(r.Joint),
+		JointGeneration:  uint64(r.JointPhase),
 		NeedsReset:       r.NeedsReset,
 		PriorGifts:       r.PriorGifts,
 		RosterGeneration: uint64(r.Held.Generation),
@@ -30,13 +30,13 @@
 
 func fromVersions(v *v1.Versions) Report {
 	return Report{
-		Full:       fleet.RosterGeneration(v.GetFullGeneration()),
+		FullPhase:  fleet.RosterGeneration(v.GetFullGeneration()),
 		GuestGifts: v.GetGuestGifts(),
 		Held: Versions{
 			Generation: fleet.RosterGeneration(v.GetRosterGeneration()),
 			Sheet:      fleet.SheetVersion(v.GetSheetVersion()),
 		},
-		Joint:      fleet.RosterGeneration(v.GetJointGeneration()),
+		JointPhase: fleet.RosterGeneration(v.GetJointGeneration()),
 		NeedsReset: v.GetNeedsReset(),
 		PriorGifts: v.GetPriorGifts(),
 	}
@@ -69,7 +69,7 @@
 func fromSuspicions(by Member, messages []*v1.Suspicion) []Suspicion {
 	out := make([]Suspicion, 0, len(messages))
 	for _, s := range messages {
-		out = append(out, Suspicion{By: by, Group: fleet.GroupID(s.GetGroup()), Silence: milliseconds(s.GetSilenceMs()), Term: fleet.Term(s.GetTerm())})
+		out = append(out, Suspicion{Reporter: by, Group: fleet.GroupID(s.GetGroup()), Silence: milliseconds(s.GetSilenceMs()), Term: fleet.Term(s.GetTerm())})
 	}
 	return out
 }
--- a/peer/permits.go
+++ b/peer/permits.go
@@ -29,8 +29,8 @@
 	c.refresh()
 }
 
-// AskShares asks the peers for what this instance lacks now.
-func (c *Controller) AskShares(ctx context.Context) error {
+// RequestShares asks the peers for what this instance lacks now.
+func (c *Controller) RequestShares(ctx context.Context) error {
 	return c.moveShares(ctx)
 }
 
--- a/peer/service.go
+++ b/peer/service.go
@@ -12,12 +12,12 @@
 
 var _ nutmegpierv1connect.PeerServiceHandler = &Controller{}
 
-// ConfirmTransfer ends a transfer that this instance gave.
+// CompleteTransfer ends a transfer that this instance gave.
 func (c *Controller) ConfirmTransfer(_ context.Context, request *connect.Request[v1.ConfirmTransferRequest]) (*connect.Response[v1.ConfirmTransferResponse], error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if fleet.Epoch(request.Msg.GetGiverEpoch()) == c.self.Epoch {
-		c.ledger.Confirm(fromSender(request.Msg.GetSender()), TransferID(request.Msg.GetTransferId()))
+		c.ledger.CompleteTransfer(fromSender(request.Msg.GetSender()), TransferID(request.Msg.GetTransferId()))
 	}
 	return connect.NewResponse(&v1.ConfirmTransferResponse{
 		Sender:       toSender(c.self),
@@ -38,13 +38,13 @@
 	}
 	response := &v1.ExchangeResponse{
 		Leaving:    c.leaving,
-		Liveness:   toLiveness(c.membership.Report(now)),
+		Liveness:   toLiveness(c.membership.SilenceReport(now)),
 		Sender:     toSender(c.self),
 		Suspicions: c.ownSuspicions(),
 		Versions:   c.versionsMessage(),
 	}
 	if message.GetWantVoucher() {
-		response.VoucherMs = uint64(c.validity.Give(now, from).Milliseconds())
+		response.VoucherMs = uint64(c.validity.GrantLease(now, from).Milliseconds())
 	}
 	return connect.NewResponse(response), nil
 }
@@ -86,11 +86,11 @@
 	return connect.NewResponse(&v1.ForwardCancelResponse{Found: found}), nil
 }
 
-// QueryTransfer tells the giver whether a transfer was accepted here.
+// AcceptedOrReject tells the giver whether a transfer was accepted here.
 func (c *Controller) QueryTransfer(_ context.Context, request *connect.Request[v1.QueryTransferRequest]) (*connect.Response[v1.QueryTransferResponse], error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	accepted := c.ledger.Query(fromSender(request.Msg.GetSender()), TransferID(request.Msg.GetTransferId()))
+	accepted := c.ledger.AcceptedOrReject(fromSender(request.Msg.GetSender()), TransferID(request.Msg.GetTransferId()))
 	return connect.NewResponse(&v1.QueryTransferResponse{Accepted: accepted, Sender: toSender(c.self)}), nil
 }
 
@@ -109,7 +109,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.releasePermits(wanted.Permits)
-	transfer := c.ledger.Give(c.config.Clock.Now(), wanted)
+	transfer := c.ledger.StartTransfer(c.config.Clock.Now(), wanted)
 	return connect.NewResponse(&v1.TransferSharesResponse{
 		Permits:          toPermits(transfer.Permits),
 		Rates:            toRates(transfer.Rates),
--- a/peer/store.go
+++ b/peer/store.go
@@ -113,9 +113,9 @@
 	now := c.config.Clock.Now()
 	c.mu.Lock()
 	roster := c.ledger.Roster()
-	ready := c.ledger.IsFull() && roster.Generation == head.RosterGeneration && c.validity.Valid(now)
-	reset := c.ledger.NeedsGeneration() || slices.ContainsFunc(roster.Members, func(m Member) bool { return c.resets[m] })
-	next, wanted := c.membership.Proposal(now, roster, reset, func(m Member) bool { return c.validity.MayEvict(now, m) })
+	ready := c.ledger.InFullPhase() && roster.Generation == head.RosterGeneration && c.validity.Valid(now)
+	reset := c.ledger.NeedsNewGeneration() || slices.ContainsFunc(roster.Members, func(m Member) bool { return c.resets[m] })
+	next, wanted := c.membership.Proposal(now, roster, reset, func(m Member) bool { return c.validity.NoGrantOutstanding(now, m) })
 	c.mu.Unlock()
 	if !ready || !wanted {
 		return
--- a/peer/tls.go
+++ b/peer/tls.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// CallerServer returns the configuration of a listener whose clients show no
+// ServerWithoutClientAuth returns the configuration of a listener whose clients show no
 // certificate.
-func (t *TLS) CallerServer() *tls.Config {
+func (t *TLS) ServerWithoutClientAuth() *tls.Config {
 	return &tls.Config{
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			pair, _ := t.current()
--- a/peer/transfer.go
+++ b/peer/transfer.go
@@ -23,7 +23,7 @@
 // Transfer is shares on the way from one member to another. The giver no
 // longer holds them. The receiver takes them at most once.
 type Transfer struct {
-	Giver    Member
+	Donor    Member
 	ID       TransferID
 	Permits  []PermitAmount
 	Rates    []RateAmount
--- a/peer/validity.go
+++ b/peer/validity.go
@@ -44,7 +44,7 @@
 // Give records that this instance answers a request for a voucher, and returns
 // how long it vouches. The instance proposes no eviction of the member before
 // the voucher has ended for certain.
-func (v *Validity) Give(now time.Time, member Member) time.Duration {
+func (v *Validity) GrantLease(now time.Time, member Member) time.Duration {
 	until := now.Add(expiryWait(v.lease))
 	if until.After(v.given[member]) {
 		v.given[member] = until
@@ -52,8 +52,8 @@
 	return v.lease
 }
 
-// MayEvict reports whether no voucher for the member is outstanding.
-func (v *Validity) MayEvict(now time.Time, member Member) bool {
+// NoGrantOutstanding reports whether no voucher for the member is outstanding.
+func (v *Validity) NoGrantOutstanding(now time.Time, member Member) bool {
 	return !now.Before(v.given[member])
 }
 
@@ -63,9 +63,9 @@
 	v.read.record(sent, versions, v.held)
 }
 
-// RecordVoucher records a voucher. Sent is the time before the request was
+// RecordLeaseGrant records a voucher. Sent is the time before the request was
 // sent, versions is what the voucher's sender holds.
-func (v *Validity) RecordVoucher(from Member, sent time.Time, duration time.Duration, versions Versions) {
+func (v *Validity) RecordLeaseGrant(from Member, sent time.Time, duration time.Duration, versions Versions) {
 	if duration <= 0 || from == v.self {
 		return
 	}
@@ -94,8 +94,8 @@
 	v.quorums = quorums
 }
 
-// StoreRead returns the time from which the newest counted read counts.
-func (v *Validity) StoreRead() time.Time {
+// LastStoreRead returns the time from which the newest counted read counts.
+func (v *Validity) LastStoreRead() time.Time {
 	return v.read.counted
 }
 
--- a/peer/world_test.go
+++ b/peer/world_test.go
@@ -157,8 +157,8 @@
 	if versions.Generation > n.ledger.Versions().Generation {
 		n.ledger.AdoptRoster(now, w.rosters[versions.Generation])
 		if w.mutation == mutationJointSkipped {
-			n.ledger.RecordReport(peer.Member{}, peer.Report{Full: versions.Generation, Held: n.ledger.Versions()})
-			n.ledger.Advance(now, now)
+			n.ledger.RecordReport(peer.Member{}, peer.Report{FullPhase: versions.Generation, Held: n.ledger.Versions()})
+			n.ledger.AdvanceTransitions(now, now)
 		}
 	}
 	if versions.Sheet > n.ledger.Versions().Sheet {
@@ -170,7 +170,7 @@
 
 func (w *world) refresh(n *node) {
 	now := w.local(n)
-	n.ledger.Advance(now, n.validity.StoreRead())
+	n.ledger.AdvanceTransitions(now, n.validity.LastStoreRead())
 	quorums := n.ledger.Quorums()
 	if w.mutation == mutationMinority {
 		for i := range quorums {
@@ -207,7 +207,7 @@
 func (w *world) exchange(from, to *node, fetch bool) {
 	sent := w.local(from)
 	w.post(to, func() {
-		voucher := to.validity.Give(w.local(to), from.self)
+		voucher := to.validity.GrantLease(w.local(to), from.self)
 		answerer, report := to.self, to.ledger.Report()
 		w.post(from, func() {
 			if fetch {
@@ -220,7 +220,7 @@
 			if w.mutation == mutationAnswerTime {
 				sent = w.local(from)
 			}
-			from.validity.RecordVoucher(answerer, sent, voucher, named)
+			from.validity.RecordLeaseGrant(answerer, sent, voucher, named)
 			from.ledger.RecordReport(answerer, report)
 			w.refresh(from)
 			w.confirmPublish(from, answerer, report)
@@ -249,13 +249,13 @@
 	w.post(to, func() {
 		now := w.local(to)
 		before := to.ledger.Share(now, "w")
-		transfer := to.ledger.Give(now, wanted)
+		transfer := to.ledger.StartTransfer(now, wanted)
 		if transfer.IsEmpty() {
 			return
 		}
 		switch w.mutation {
 		case mutationSubtractedLate:
-			to.ledger.Refused(now, transfer.Receiver, transfer.ID)
+			to.ledger.ReclaimTransfer(now, transfer.Receiver, transfer.ID)
 		case mutationCapacityKept:
 			after := to.ledger.Share(now, "w")
 			after.Capacity, after.Level = before.Capacity, before.Level
@@ -270,24 +270,24 @@
 	if w.mutation == mutationAcceptedTwice || w.mutation == mutationBarIgnored && w.barred[transfer.ID] {
 		transfer.ID += peer.TransferID(1000 + len(w.queue))
 	}
-	n.ledger.Accept(w.local(n), transfer)
+	n.ledger.AcceptTransfer(w.local(n), transfer)
 }
 
 func (w *world) query(giver *node) {
-	for _, transfer := range giver.ledger.Pending() {
+	for _, transfer := range giver.ledger.PendingTransfers() {
 		i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.self.Instance == transfer.Receiver.Instance })
 		receiver := w.nodes[i]
 		w.post(receiver, func() {
-			accepted, answerer := receiver.ledger.Query(transfer.Giver, transfer.ID), receiver.self
+			accepted, answerer := receiver.ledger.AcceptedOrReject(transfer.Donor, transfer.ID), receiver.self
 			w.barred[transfer.ID] = !accepted
 			if w.mutation == mutationNewEpochAnswers {
 				answerer = transfer.Receiver
 			}
 			w.post(giver, func() {
 				if accepted {
-					giver.ledger.Confirm(answerer, transfer.ID)
+					giver.ledger.CompleteTransfer(answerer, transfer.ID)
 				} else {
-					giver.ledger.Refused(w.local(giver), answerer, transfer.ID)
+					giver.ledger.ReclaimTransfer(w.local(giver), answerer, transfer.ID)
 				}
 			})
 		})
@@ -298,7 +298,7 @@
 // an instance whose joint phase is over may do so.
 func (w *world) propose(n *node, keep int) {
 	roster := n.ledger.Roster()
-	if roster.Generation != w.head().Generation || !n.ledger.IsFull() {
+	if roster.Generation != w.head().Generation || !n.ledger.InFullPhase() {
 		return
 	}
 	next := peer.Roster{Generation: roster.Generation + 1, Previous: roster.Members}
