--- a/peer/acceptance.go
+++ b/peer/acceptance.go
@@ -2,26 +2,29 @@
 
 import "github.com/nutmegpier/nutmegpier/fleet"
 
-// Acceptance decides when a published sheet version is accepted. It is not
-// safe for concurrent use.
+// Acceptance tracks which members hold a published sheet version, and decides
+// when the version is accepted: when a majority holds it. It is not safe for
+// concurrent use.
 type Acceptance struct {
-	holders map[Member]Versions
-	version fleet.SheetVersion
+	// reported holds the newest versions that each member said it holds.
+	reported map[Member]Versions
+	version  fleet.SheetVersion
 }
 
-// NewAcceptance returns the acceptance of one version.
+// NewAcceptance returns an acceptance of the version without any holders.
 func NewAcceptance(version fleet.SheetVersion) *Acceptance {
-	return &Acceptance{holders: make(map[Member]Versions), version: version}
+	return &Acceptance{reported: make(map[Member]Versions), version: version}
 }
 
-// Accepted reports whether a majority of each quorum holds the version. A
-// confirmation by a holder of a newer roster than ours does not count, and
-// makes this instance learn of the newer roster first.
+// Accepted reports whether a majority of each quorum holds the version. Held is
+// what this instance holds. If any member reported a newer roster generation,
+// the quorums are outdated and the result is false until this instance has
+// adopted that roster.
 func (a *Acceptance) Accepted(held Versions, quorums ...[]Member) bool {
 	if held.Sheet < a.version || len(quorums) == 0 {
 		return false
 	}
-	for _, versions := range a.holders {
+	for _, versions := range a.reported {
 		if versions.Generation > held.Generation {
 			return false
 		}
@@ -29,7 +32,7 @@
 	for _, quorum := range quorums {
 		count := 0
 		for _, member := range quorum {
-			if versions, ok := a.holders[member]; ok && versions.Sheet >= a.version {
+			if versions, ok := a.reported[member]; ok && versions.Sheet >= a.version {
 				count++
 			}
 		}
@@ -40,10 +43,11 @@
 	return true
 }
 
-// Record records what a member said that it holds.
+// Record records the versions that a member reported to hold. Older reports,
+// which may arrive late, are ignored.
 func (a *Acceptance) Record(from Member, versions Versions) {
-	if a.holders[from].Covers(versions) {
+	if a.reported[from].Covers(versions) {
 		return
 	}
-	a.holders[from] = versions
+	a.reported[from] = versions
 }
--- a/peer/cancel.go
+++ b/peer/cancel.go
@@ -10,8 +10,8 @@
 	v1 "github.com/nutmegpier/nutmegpier/gen/nutmegpier/v1"
 )
 
-// ForwardCancelToPeers passes a cancel request to all live peers at once, and
-// reports whether one of them has the session.
+// ForwardCancelToPeers sends a cancel request to all live peers in parallel, and
+// reports whether one of them runs the session.
 func (c *Controller) ForwardCancelToPeers(ctx context.Context, processID uint32, secretKey []byte) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -23,12 +23,12 @@
 			continue
 		}
 		calls.Go(func() error {
-			answer, err := client.ForwardCancel(ctx, connect.NewRequest(&v1.ForwardCancelRequest{
+			response, err := client.ForwardCancel(ctx, connect.NewRequest(&v1.ForwardCancelRequest{
 				ProcessId: processID,
 				SecretKey: secretKey,
 				Sender:    toSender(c.self),
 			}))
-			if err == nil && answer.Msg.GetFound() {
+			if err == nil && response.Msg.GetFound() {
 				found.Store(true)
 			}
 			return nil
--- a/peer/concurrency_test.go
+++ b/peer/concurrency_test.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// concurrencyBound bounds one wait in real time. A controller settles in
-	// a few seconds; the race detector on a busy machine takes longer.
-	concurrencyBound = 60 * time.Second
-	// concurrencyInterval is the time between two looks at the controllers.
-	concurrencyInterval = 20 * time.Millisecond
+	// concurrencyTimeout is the timeout of one wait in real time. A controller
+	// reaches the expected state in a few seconds, but takes longer with the race
+	// detector on a busy machine.
+	concurrencyTimeout = 60 * time.Second
+	// concurrencyPollInterval is the time between two checks of a condition.
+	concurrencyPollInterval = 20 * time.Millisecond
 )
 
-// await looks at the controllers until a condition holds.
-func (d *deployment) await(step string, holds func() bool) {
+// await waits until a condition is met.
+func (d *deployment) await(step string, condition func() bool) {
 	d.t.Helper()
-	bound := time.NewTimer(concurrencyBound)
-	defer bound.Stop()
-	ticker := time.NewTicker(concurrencyInterval)
+	timeout := time.NewTimer(concurrencyTimeout)
+	defer timeout.Stop()
+	ticker := time.NewTicker(concurrencyPollInterval)
 	defer ticker.Stop()
-	for !holds() {
+	for !condition() {
 		select {
-		case <-bound.C:
-			d.t.Fatalf("%s: not within %v", step, concurrencyBound)
+		case <-timeout.C:
+			d.t.Fatalf("%s: condition not met within %v", step, concurrencyTimeout)
 		case <-ticker.C:
 		}
 	}
 }
 
-// TestControllersConcurrently guards against data races between the
-// controllers and the requests that read them, in real time. The tests in
-// virtual time run without the race detector.
+// TestControllersConcurrently guards against data races between running
+// controllers and concurrent requests. It runs in real time, because the tests in
+// virtual time are excluded from builds with the race detector.
 func TestControllersConcurrently(t *testing.T) {
 	d := newDeployment(t, "a", "b", "c")
 	defer d.haltAll()
@@ -69,8 +70,8 @@
 		}
 		return rate > 0
 	})
-	d.set(func() { d.down = true })
-	d.set(func() { d.down = false })
+	d.update(func() { d.storeDown = true })
+	d.update(func() { d.storeDown = false })
 	d.halt("c")
 	d.await("eviction", func() bool { return len(members[0].Roster().Members) == 2 && members[0].Valid(time.Now()) })
 	close(stop)
--- a/peer/config.go
+++ b/peer/config.go
@@ -9,40 +9,45 @@
 )
 
 const (
-	// exchangePeriod is the time between two exchanges with the same peer.
+	// exchangePeriod is the interval between Exchange calls to the same peer.
 	exchangePeriod = 500 * time.Millisecond
-	// callTimeout bounds each call. A late answer is of no use for a lease.
+	// callTimeout is the default timeout of a call to the store or a peer. A later
+	// response is of no use for a lease, which counts from the request.
 	callTimeout = time.Second
-	// storePeriod is the time between two reads of the head row.
+	// storePeriod is the interval between two reads of the head row, and between
+	// two reads of the list of instances.
 	storePeriod = time.Second
-	// DefaultValidityLease is the time for which evidence of validity counts.
+	// DefaultValidityLease is how long a store read or a majority of lease grants
+	// keeps an instance valid.
 	DefaultValidityLease = 3 * time.Second
 )
 
-// Clock tells the time with its monotonic reading.
+// Clock returns the current time, including a monotonic clock reading.
 type Clock interface {
 	Now() time.Time
 }
 
-// Condition holds when the row has this revision. Zero means that it is absent.
+// Condition is met if the row has this revision. Zero means that the row does
+// not exist.
 type Condition struct {
 	Key      string
 	Revision uint64
 }
 
-// Row is one row of the table.
+// Row is one row of the platform's table.
 type Row struct {
 	Key      string
 	Revision uint64
 	Value    []byte
 }
 
-// Table is the part of the platform's table service that the peers need.
+// Table is the part of the platform's table service that this package uses as
+// its store.
 type Table interface {
-	// Read returns the rows that exist, in one consistent read.
+	// Read returns those of the rows that exist, from one consistent snapshot.
 	Read(ctx context.Context, keys []string) ([]Row, error)
-	// Write writes all rows if all conditions hold, and none otherwise. An
-	// error says nothing about whether the write took effect.
+	// Write writes all rows if all conditions are met, and none otherwise. After
+	// an error it is unknown whether the write took effect.
 	Write(ctx context.Context, conditions []Condition, rows []Row) (applied bool, after []Row, err error)
 }
 
@@ -51,44 +56,57 @@
 	List(ctx context.Context) ([]Listed, error)
 }
 
-// LimitsParser reads the limits out of the content of a sheet.
+// LimitsParser parses the content of a sheet and returns its limits.
 type LimitsParser func(content []byte) (Limits, error)
 
-// Config is what a controller depends on. All fields are required, but for
-// Events, ForwardCancel, Lease, ReleasePermits, Seeds, SheetChanged and Suspicions.
+// Config holds the settings and dependencies of a controller. All fields are
+// required except Events, ForwardCancel, Lease, ReleasePermits, Seeds,
+// SheetChanged and Suspicions.
 type Config struct {
 	// Client returns the client for the peer at an address.
 	Client func(address string) nutmegpierv1connect.PeerServiceClient
 	Clock  Clock
-	Epoch  fleet.Epoch
+	// Epoch identifies this run of the instance.
+	Epoch fleet.Epoch
 	// Events receives each change of state. It must not call the controller.
 	Events func(event Event)
-	// ForwardCancel passes a cancel request to a session of this instance.
+	// ForwardCancel passes a cancel request to a session of this instance and
+	// reports whether the session exists.
 	ForwardCancel func(processID uint32, secretKey []byte) bool
 	Instances     InstanceList
-	Lease         time.Duration
-	Limits        LimitsParser
-	// Random returns a number that is unique for each proposal.
+	// Lease is the duration of the validity lease, by default
+	// DefaultValidityLease.
+	Lease time.Duration
+	// Limits extracts the limits from the content of a sheet.
+	Limits LimitsParser
+	// Random returns a random number, which makes the ID of a roster proposal
+	// unique.
 	Random func() uint64
-	// ReleasePermits lets the pool give up as many of the wanted permits as it
-	// does not need, and returns how it uses the rest. The connections of the
-	// permits given up are closed when it returns. It must not call the
-	// controller.
+	// ReleasePermits makes the connection pool release up to the wanted number of
+	// permits, as far as it does not need them, and returns how it uses the rest.
+	// The connections of released permits are closed when it returns. It must not
+	// call the controller.
 	ReleasePermits func(server fleet.ServerID, wanted int) PermitUse
-	// Seeds are peers from the settings, used while the list is not available.
+	// Seeds are peers that are contacted even if the platform's list of instances
+	// does not contain them or is unavailable.
 	Seeds []Listed
-	Self  fleet.InstanceID
-	// SheetChanged receives each newer sheet.
+	// Self is the ID of this instance.
+	Self fleet.InstanceID
+	// SheetChanged is called with each newer sheet.
 	SheetChanged func(version fleet.SheetVersion, content []byte)
-	// Suspicions returns what this instance suspects of primaries.
+	// Suspicions returns the primaries that this instance suspects to be down.
 	Suspicions func() []Suspicion
 	Table      Table
 }
 
-// Suspicion says that an instance cannot reach the primary of a group.
+// Suspicion is the report of an instance that it cannot reach the primary of a
+// group.
 type Suspicion struct {
+	// Reporter is the instance that cannot reach the primary.
 	Reporter Member
 	Group    fleet.GroupID
-	Silence  time.Duration
-	Term     fleet.Term
+	// Silence is the time since the primary last answered the reporter.
+	Silence time.Duration
+	// Term is the term of that primary.
+	Term fleet.Term
 }
--- a/peer/event.go
+++ b/peer/event.go
@@ -2,55 +2,60 @@
 
 import "fmt"
 
-// EventKind says what happened.
+// EventKind identifies the kind of an event.
 type EventKind string
 
 // Kinds of events.
 const (
-	// EventMemberHeard is a silent member that answers again, or a new one.
+	// EventMemberHeard means that a member answers for the first time, or again
+	// after it was silent.
 	EventMemberHeard EventKind = "MemberHeard"
-	// EventMemberSilent is a member that no longer answers.
+	// EventMemberSilent means that a member is no longer live: it stopped
+	// answering, announced its stop, or was replaced by a new run.
 	EventMemberSilent EventKind = "MemberSilent"
-	// EventRosterInForce is a newer roster that this instance took in.
+	// EventRosterInForce means that this instance adopted a newer roster.
 	EventRosterInForce EventKind = "RosterInForce"
-	// EventSharesMoved is a transfer of shares to this instance.
+	// EventSharesMoved means that this instance received shares from a peer.
 	EventSharesMoved EventKind = "SharesMoved"
-	// EventStoreAvailable is the end of an outage of the table.
+	// EventStoreAvailable is the end of an outage of the store.
 	EventStoreAvailable EventKind = "StoreAvailable"
-	// EventStoreUnavailable is the begin of an outage of the table.
+	// EventStoreUnavailable is the start of an outage of the store.
 	EventStoreUnavailable EventKind = "StoreUnavailable"
-	// EventUnusable is a row or a sheet that cannot be used.
+	// EventUnusable is a row or a sheet that cannot be read, is missing, or has
+	// invalid content.
 	EventUnusable EventKind = "Unusable"
 )
 
-// Event is a change that operators may want to know of.
+// Event is a state change that is recorded for operators.
 type Event struct {
 	Kind EventKind
 	Text string
 }
 
-func (c *Controller) event(kind EventKind, text string) {
+func (c *Controller) emitEvent(kind EventKind, text string) {
 	if c.config.Events != nil {
 		c.config.Events(Event{Kind: kind, Text: text})
 	}
 }
 
-// noteStore records the begin and the end of an outage of the table.
-func (c *Controller) noteStore(err error) {
+// reportStoreState emits an event if an outage of the store started or ended.
+// The error is the result of the latest read.
+func (c *Controller) reportStoreState(err error) {
 	c.mu.Lock()
-	changed := c.storeDown != (err != nil)
-	c.storeDown = err != nil
+	changed := c.storeUnavailable != (err != nil)
+	c.storeUnavailable = err != nil
 	c.mu.Unlock()
 	switch {
 	case changed && err != nil:
-		c.event(EventStoreUnavailable, err.Error())
+		c.emitEvent(EventStoreUnavailable, err.Error())
 	case changed:
-		c.event(EventStoreAvailable, "")
+		c.emitEvent(EventStoreAvailable, "")
 	}
 }
 
-// noteMembers records the peers that were lost and found since the last call.
-func (c *Controller) noteMembers() {
+// reportMemberChanges emits an event for each peer that became live or ceased to
+// be live since the last call.
+func (c *Controller) reportMemberChanges() {
 	c.mu.Lock()
 	live := make(map[Member]bool)
 	for _, member := range c.membership.Live(c.config.Clock.Now()) {
@@ -58,21 +63,21 @@
 			live[member] = true
 		}
 	}
-	earlier := c.noted
-	c.noted = live
+	previouslyLive := c.reportedLive
+	c.reportedLive = live
 	c.mu.Unlock()
 	for member := range live {
-		if !earlier[member] {
-			c.event(EventMemberHeard, memberText(member))
+		if !previouslyLive[member] {
+			c.emitEvent(EventMemberHeard, formatMember(member))
 		}
 	}
-	for member := range earlier {
+	for member := range previouslyLive {
 		if !live[member] {
-			c.event(EventMemberSilent, memberText(member))
+			c.emitEvent(EventMemberSilent, formatMember(member))
 		}
 	}
 }
 
-func memberText(member Member) string {
-	return fmt.Sprintf("%s, epoch %d", member.Instance, member.Epoch)
+func formatMember(member Member) string {
+	return fmt.Sprintf("instance %s, epoch %d", member.Instance, member.Epoch)
 }
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -16,19 +16,23 @@
 )
 
 const (
-	// askTimeout bounds the wait for one donor, because a request may wait for
-	// the answer. Shares of a late answer come back by a query.
-	askTimeout = 50 * time.Millisecond
-	// deafBackoff is the time for which a donor that did not answer is not asked.
-	deafBackoff = time.Second
-	// donorBackoff is the time for which a peer is not asked again for a limit
-	// of which it gave nothing. It bounds the calls of an overload.
-	donorBackoff = 100 * time.Millisecond
-	// sharePeriod is the time between two looks at the own demand.
-	sharePeriod = 100 * time.Millisecond
+	// shareRequestTimeout is the timeout for one donor. It is short because a
+	// client's request may be waiting for the shares. If the response comes too
+	// late, the donor finds out by QueryTransfer and reclaims the shares.
+	shareRequestTimeout = 50 * time.Millisecond
+	// unansweredBackoff is the time for which a donor that did not respond is not
+	// asked again for the same limits.
+	unansweredBackoff = time.Second
+	// nothingGivenBackoff is the time for which a donor is not asked again for a
+	// limit of which it gave nothing. It limits the call rate under overload.
+	nothingGivenBackoff = 100 * time.Millisecond
+	// shareRequestPeriod is the interval at which an instance checks its demand
+	// and requests the shares that it lacks.
+	shareRequestPeriod = 100 * time.Millisecond
 )
 
-// addresses returns the peers to talk to: the list, then the seeds.
+// addresses returns the addresses of the peers: those on the platform's list, then
+// the configured seeds that are not on the list.
 func (c *Controller) addresses() []Listed {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,20 +45,20 @@
 	return slices.DeleteFunc(peers, func(l Listed) bool { return l.Instance == c.self.Instance })
 }
 
-// ask requests shares from one peer and takes what it gives. Limits of which
-// the peer lately had nothing left are not asked for.
-func (c *Controller) ask(ctx context.Context, donor Member) error {
+// requestSharesFrom requests shares from one peer and adds those that it gives.
+// Limits for which the peer is in backoff are left out.
+func (c *Controller) requestSharesFrom(ctx context.Context, donor Member) error {
 	client, ok := c.clientOf(donor)
 	if !ok {
 		return &Error{Err: errors.New(string(donor.Instance)), Kind: KindUnavailable, Op: "ask"}
 	}
-	wanted := c.wantedFrom(donor)
+	wanted := c.wantedSharesFrom(donor)
 	if wanted.IsEmpty() {
 		return nil
 	}
-	askCtx, cancel := context.WithTimeout(ctx, askTimeout)
+	requestCtx, cancel := context.WithTimeout(ctx, shareRequestTimeout)
 	defer cancel()
-	answer, err := client.TransferShares(askCtx, connect.NewRequest(&v1.TransferSharesRequest{
+	response, err := client.TransferShares(requestCtx, connect.NewRequest(&v1.TransferSharesRequest{
 		Permits:          toPermits(wanted.Permits),
 		Rates:            toRates(wanted.Rates),
 		RosterGeneration: uint64(wanted.Versions.Generation),
@@ -62,21 +66,21 @@
 		SheetVersion:     uint64(wanted.Versions.Sheet),
 	}))
 	if err != nil {
-		c.backOff(donor, wanted, Transfer{}, deafBackoff)
+		c.setBackoff(donor, wanted, Transfer{}, unansweredBackoff)
 		return &Error{Err: err, Kind: KindUnavailable, Op: "ask"}
 	}
 	transfer := Transfer{
-		Donor:    fromSender(answer.Msg.GetSender()),
-		ID:       TransferID(answer.Msg.GetTransferId()),
-		Permits:  fromPermits(answer.Msg.GetPermits()),
-		Rates:    fromRates(answer.Msg.GetRates()),
+		Donor:    fromSender(response.Msg.GetSender()),
+		ID:       TransferID(response.Msg.GetTransferId()),
+		Permits:  fromPermits(response.Msg.GetPermits()),
+		Rates:    fromRates(response.Msg.GetRates()),
 		Receiver: c.self,
 		Versions: Versions{
-			Generation: fleet.RosterGeneration(answer.Msg.GetRosterGeneration()),
-			Sheet:      fleet.SheetVersion(answer.Msg.GetSheetVersion()),
+			Generation: fleet.RosterGeneration(response.Msg.GetRosterGeneration()),
+			Sheet:      fleet.SheetVersion(response.Msg.GetSheetVersion()),
 		},
 	}
-	c.backOff(donor, wanted, transfer, donorBackoff)
+	c.setBackoff(donor, wanted, transfer, nothingGivenBackoff)
 	if transfer.Donor != donor || transfer.IsEmpty() {
 		return nil
 	}
@@ -84,30 +88,32 @@
 	accepted := c.ledger.AcceptTransfer(c.config.Clock.Now(), transfer)
 	c.mu.Unlock()
 	if accepted {
-		c.event(EventSharesMoved, "from "+memberText(donor))
-		c.confirm(askCtx, client, transfer)
+		c.emitEvent(EventSharesMoved, "received from "+formatMember(donor))
+		c.sendConfirmation(requestCtx, client, transfer)
 	}
 	return nil
 }
 
-// backOff notes which wanted limits a donor gave nothing of.
-func (c *Controller) backOff(donor Member, wanted Wanted, transfer Transfer, pause time.Duration) {
+// setBackoff starts a backoff for the wanted limits of which the donor gave
+// nothing in the transfer.
+func (c *Controller) setBackoff(donor Member, wanted Wanted, transfer Transfer, pause time.Duration) {
 	until := c.config.Clock.Now().Add(pause)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, want := range wanted.Rates {
 		if !slices.ContainsFunc(transfer.Rates, func(r RateAmount) bool { return r.Workspace == want.Workspace }) {
-			c.emptyUntil[donorKey{donor, string(want.Workspace)}] = until
+			c.backoffUntil[backoffKey{donor, string(want.Workspace)}] = until
 		}
 	}
 	for _, want := range wanted.Permits {
 		if !slices.ContainsFunc(transfer.Permits, func(p PermitAmount) bool { return p.Server == want.Server }) {
-			c.emptyUntil[donorKey{donor, string(want.Server)}] = until
+			c.backoffUntil[backoffKey{donor, string(want.Server)}] = until
 		}
 	}
 }
 
-// clientOf returns the client for the address of a run's instance.
+// clientOf returns a client for the instance of a member, or false if its address
+// is not known.
 func (c *Controller) clientOf(member Member) (nutmegpierv1connect.PeerServiceClient, bool) {
 	for _, listed := range c.addresses() {
 		if listed.Instance == member.Instance {
@@ -117,69 +123,73 @@
 	return nil, false
 }
 
-// confirm tells the giver. When the call is lost, the giver asks by query.
-func (c *Controller) confirm(ctx context.Context, client nutmegpierv1connect.PeerServiceClient, transfer Transfer) {
-	answer, err := client.ConfirmTransfer(ctx, connect.NewRequest(&v1.ConfirmTransferRequest{
+// sendConfirmation confirms to the donor that the transfer was accepted. If the
+// call fails, the donor finds out by QueryTransfer.
+func (c *Controller) sendConfirmation(ctx context.Context, client nutmegpierv1connect.PeerServiceClient, transfer Transfer) {
+	response, err := client.ConfirmTransfer(ctx, connect.NewRequest(&v1.ConfirmTransferRequest{
 		GiverEpoch: uint64(transfer.Donor.Epoch),
 		Sender:     toSender(c.self),
 		TransferId: uint64(transfer.ID),
 	}))
-	if err != nil || fromSender(answer.Msg.GetSender()) != transfer.Donor {
+	if err != nil || fromSender(response.Msg.GetSender()) != transfer.Donor {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ledger.ForgetSettledTransfers(transfer.Donor, TransferID(answer.Msg.GetSettledBelow()))
+	c.ledger.ForgetSettledTransfers(transfer.Donor, TransferID(response.Msg.GetSettledBelow()))
 }
 
-// donors returns the live peers, the one after this instance first, so that
-// the instances do not all ask the same peer.
+// donors returns the live peers in a cyclic order that starts after this instance,
+// so that the instances do not all ask the same peer first.
 func (c *Controller) donors() []Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	live := c.membership.Live(c.config.Clock.Now())
-	at := slices.IndexFunc(live, func(m Member) bool { return compareMembers(m, c.self) >= 0 })
-	if at < 0 {
-		at = 0
+	first := slices.IndexFunc(live, func(m Member) bool { return compareMembers(m, c.self) >= 0 })
+	if first < 0 {
+		first = 0
 	}
-	donors := slices.Concat(live[at:], live[:at])
+	donors := slices.Concat(live[first:], live[:first])
 	return slices.DeleteFunc(donors, func(m Member) bool { return m == c.self })
 }
 
-// exchange sends the periodic message to one peer. What the answer names is
-// fetched before the voucher and the report count.
+// exchange sends the periodic message to one peer and records the response. Newer
+// versions that the response names are fetched first, so that the lease grant and
+// the report in it can count at once.
 func (c *Controller) exchange(ctx context.Context, listed Listed) {
-	// A peer that does not answer must not delay the next round with the others.
+	// A peer that does not respond must not delay the next round of exchanges with
+	// the others.
 	ctx, cancel := context.WithTimeout(ctx, exchangePeriod)
 	defer cancel()
 	client := c.config.Client(listed.Address)
 	sent := c.config.Clock.Now()
-	answer, err := client.Exchange(ctx, connect.NewRequest(c.exchangeRequest()))
+	response, err := client.Exchange(ctx, connect.NewRequest(c.exchangeRequest()))
 	if err != nil {
 		return
 	}
-	from := fromSender(answer.Msg.GetSender())
+	from := fromSender(response.Msg.GetSender())
 	if from.Instance != listed.Instance {
 		return
 	}
-	report := fromVersions(answer.Msg.GetVersions())
-	c.fetchFrom(ctx, client, report.Held)
+	report := fromVersions(response.Msg.GetVersions())
+	c.fetchNewerFrom(ctx, client, report.Held)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.validity.RecordLeaseGrant(from, sent, milliseconds(answer.Msg.GetVoucherMs()), report.Held)
-	c.record(from, report, true, answer.Msg.GetLeaving(), answer.Msg.GetLiveness(), answer.Msg.GetSuspicions())
+	c.validity.RecordLeaseGrant(from, sent, durationFromMillis(response.Msg.GetVoucherMs()), report.Held)
+	c.recordPeerState(from, report, true, response.Msg.GetLeaving(), response.Msg.GetLiveness(), response.Msg.GetSuspicions())
 }
 
+// exchangeAll exchanges messages with all peers in parallel.
 func (c *Controller) exchangeAll(ctx context.Context) {
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, listed := range c.addresses() {
-		wait.Go(func() { c.exchange(ctx, listed) })
+		wg.Go(func() { c.exchange(ctx, listed) })
 	}
-	wait.Wait()
+	wg.Wait()
 	c.mu.Lock()
 	c.refresh()
 	c.mu.Unlock()
-	c.noteMembers()
+	c.reportMemberChanges()
 }
 
 func (c *Controller) exchangeRequest() *v1.ExchangeRequest {
@@ -189,111 +199,119 @@
 		Leaving:     c.leaving,
 		Liveness:    toLiveness(c.membership.SilenceReport(c.config.Clock.Now())),
 		Sender:      toSender(c.self),
-		Suspicions:  c.ownSuspicions(),
+		Suspicions:  c.localSuspicions(),
 		Versions:    c.versionsMessage(),
 		WantVoucher: true,
 	}
 }
 
-// fetchFrom fetches from a peer what it holds and this instance lacks.
-func (c *Controller) fetchFrom(ctx context.Context, client nutmegpierv1connect.PeerServiceClient, versions Versions) {
+// fetchNewerFrom fetches and adopts the roster and the sheet from a peer that
+// holds these versions, as far as they are newer than those held here.
+func (c *Controller) fetchNewerFrom(ctx context.Context, client nutmegpierv1connect.PeerServiceClient, versions Versions) {
 	held := c.Versions()
 	if versions.Generation > held.Generation {
-		answer, err := client.FetchRoster(ctx, connect.NewRequest(&v1.FetchRosterRequest{}))
+		response, err := client.FetchRoster(ctx, connect.NewRequest(&v1.FetchRosterRequest{}))
 		var roster Roster
-		if err == nil && json.Unmarshal(answer.Msg.GetContent(), &roster) == nil {
+		if err == nil && json.Unmarshal(response.Msg.GetContent(), &roster) == nil {
 			c.adoptRoster(roster)
 		}
 	}
 	if versions.Sheet > held.Sheet {
-		answer, err := client.FetchSheet(ctx, connect.NewRequest(&v1.FetchSheetRequest{}))
-		if err == nil && len(answer.Msg.GetContent()) > 0 {
-			if err := c.OfferSheet(fleet.SheetVersion(answer.Msg.GetVersion()), answer.Msg.GetContent()); err != nil {
-				c.event(EventUnusable, err.Error())
+		response, err := client.FetchSheet(ctx, connect.NewRequest(&v1.FetchSheetRequest{}))
+		if err == nil && len(response.Msg.GetContent()) > 0 {
+			if err := c.OfferSheet(fleet.SheetVersion(response.Msg.GetVersion()), response.Msg.GetContent()); err != nil {
+				c.emitEvent(EventUnusable, err.Error())
 			}
 		}
 	}
 }
 
-// moveShares asks peers for what is missing, one after the other.
-func (c *Controller) moveShares(ctx context.Context) error {
+// requestShares requests the missing shares from the peers, one after the other.
+// Only one call runs at a time.
+func (c *Controller) requestShares(ctx context.Context) error {
 	select {
-	case c.asking <- struct{}{}:
+	case c.requestSlot <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-c.asking }()
+	defer func() { <-c.requestSlot }()
 	for _, donor := range c.donors() {
-		if err := c.ask(ctx, donor); err != nil && ctx.Err() != nil {
+		if err := c.requestSharesFrom(ctx, donor); err != nil && ctx.Err() != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Controller) ownSuspicions() []*v1.Suspicion {
+// localSuspicions returns the primaries that this instance suspects to be down.
+func (c *Controller) localSuspicions() []*v1.Suspicion {
 	if c.config.Suspicions == nil {
 		return nil
 	}
 	return toSuspicions(c.config.Suspicions())
 }
 
-// queryPending asks the receivers of transfers that are unconfirmed for
-// longer than an exchange period.
-func (c *Controller) queryPending(ctx context.Context) {
+// resolvePendingTransfers queries the outcome of the transfers that were already
+// pending at the previous call, an exchange period ago.
+func (c *Controller) resolvePendingTransfers(ctx context.Context) {
 	c.mu.Lock()
 	pending := c.ledger.PendingTransfers()
-	seen := c.pendingSeen
-	c.pendingSeen = make(map[TransferID]bool, len(pending))
+	previously := c.previouslyPending
+	c.previouslyPending = make(map[TransferID]bool, len(pending))
 	for _, transfer := range pending {
-		c.pendingSeen[transfer.ID] = true
+		c.previouslyPending[transfer.ID] = true
 	}
 	c.mu.Unlock()
 	for _, transfer := range pending {
-		if client, ok := c.clientOf(transfer.Receiver); ok && seen[transfer.ID] {
-			c.queryTransfer(ctx, client, transfer)
+		if client, ok := c.clientOf(transfer.Receiver); ok && previously[transfer.ID] {
+			c.resolveTransfer(ctx, client, transfer)
 		}
 	}
 }
 
-func (c *Controller) queryTransfer(ctx context.Context, client nutmegpierv1connect.PeerServiceClient, transfer Transfer) {
+// resolveTransfer asks the receiver of a transfer whether it accepted it, and ends
+// or reclaims the transfer accordingly.
+func (c *Controller) resolveTransfer(ctx context.Context, client nutmegpierv1connect.PeerServiceClient, transfer Transfer) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	answer, err := client.QueryTransfer(ctx, connect.NewRequest(&v1.QueryTransferRequest{
+	response, err := client.QueryTransfer(ctx, connect.NewRequest(&v1.QueryTransferRequest{
 		Sender:     toSender(c.self),
 		TransferId: uint64(transfer.ID),
 	}))
 	if err != nil {
 		return
 	}
-	answerer := fromSender(answer.Msg.GetSender())
+	responder := fromSender(response.Msg.GetSender())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if answer.Msg.GetAccepted() {
-		c.ledger.CompleteTransfer(answerer, transfer.ID)
+	if response.Msg.GetAccepted() {
+		c.ledger.CompleteTransfer(responder, transfer.ID)
 		return
 	}
-	c.ledger.ReclaimTransfer(c.config.Clock.Now(), answerer, transfer.ID)
+	c.ledger.ReclaimTransfer(c.config.Clock.Now(), responder, transfer.ID)
 }
 
-// record takes in what a peer said of itself. The lock is held.
-func (c *Controller) record(from Member, report Report, answered, leaving bool, liveness []*v1.Liveness, suspicions []*v1.Suspicion) {
+// recordPeerState records the content of an Exchange message from a peer.
+// IsResponse means that it is the response to a call of this instance. The caller
+// must hold c.mu.
+func (c *Controller) recordPeerState(from Member, report Report, isResponse, leaving bool, liveness []*v1.Liveness, suspicions []*v1.Suspicion) {
 	now := c.config.Clock.Now()
-	c.membership.RecordMessage(now, from, answered, leaving, fromLiveness(liveness))
+	c.membership.RecordMessage(now, from, isResponse, leaving, fromLiveness(liveness))
 	c.membership.recordHeld(from, report.Held)
 	c.ledger.RecordReport(from, report)
 	if c.ledger.Roster().Has(from) {
-		c.peerFull = max(c.peerFull, report.FullPhase)
+		c.newestFullGeneration = max(c.newestFullGeneration, report.FullPhase)
 	}
 	c.suspicions[from] = fromSuspicions(from, suspicions)
-	c.resets[from] = report.NeedsReset
+	c.needsNewGeneration[from] = report.NeedsReset
 	for _, acceptance := range c.acceptances {
 		acceptance.Record(from, report.Held)
 	}
 	c.refresh()
 }
 
-// versionsMessage returns what this instance says of itself. The lock is held.
+// versionsMessage returns the report of this instance for an Exchange message. The
+// caller must hold c.mu.
 func (c *Controller) versionsMessage() *v1.Versions {
 	message := toVersions(c.ledger.Report())
 	message.StoreReadAgeMs = -1
@@ -303,17 +321,18 @@
 	return message
 }
 
-// wantedFrom returns what to ask a donor for.
-func (c *Controller) wantedFrom(donor Member) Wanted {
+// wantedSharesFrom returns the shares to request from a donor. Limits for which
+// the donor is in backoff are left out.
+func (c *Controller) wantedSharesFrom(donor Member) Wanted {
 	now := c.config.Clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wanted := c.ledger.Wanted(now)
 	wanted.Rates = slices.DeleteFunc(wanted.Rates, func(r RateAmount) bool {
-		return now.Before(c.emptyUntil[donorKey{donor, string(r.Workspace)}])
+		return now.Before(c.backoffUntil[backoffKey{donor, string(r.Workspace)}])
 	})
 	wanted.Permits = slices.DeleteFunc(wanted.Permits, func(p PermitAmount) bool {
-		return now.Before(c.emptyUntil[donorKey{donor, string(p.Server)}])
+		return now.Before(c.backoffUntil[backoffKey{donor, string(p.Server)}])
 	})
 	return wanted
 }
--- a/peer/export_test.go
+++ b/peer/export_test.go
@@ -7,7 +7,7 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// SetShare replaces a share, to build mutations of the ledger.
+// SetShare replaces a share, so that a test can simulate a faulty ledger.
 func (l *Ledger) SetShare(now time.Time, id fleet.WorkspaceID, share workspace.Share) {
 	l.limiter.Set(now, id, share)
 }
--- a/peer/fakes_test.go
+++ b/peer/fakes_test.go
@@ -19,18 +19,18 @@
 
 var errFault = errors.New("injected fault")
 
-// deployment is several controllers with a table, a list and a network in
-// memory.
+// deployment runs several controllers with an in-memory store, list of instances
+// and network.
 type deployment struct {
-	t          *testing.T
-	mu         sync.Mutex
-	cut        map[fleet.InstanceID]bool // calls from and to peers get no answer
-	down       bool
-	loseAnswer bool // writes take effect, their answers are lost
-	noStore    map[fleet.InstanceID]bool
-	running    map[string]*member
-	rows       map[string]peer.Row
-	slow       time.Duration
+	t                  *testing.T
+	mu                 sync.Mutex
+	partitioned        map[fleet.InstanceID]bool // calls from and to other instances get no response
+	storeDown          bool
+	loseWriteResponses bool // writes take effect, but their responses are lost
+	withoutStore       map[fleet.InstanceID]bool
+	running            map[string]*member
+	rows               map[string]peer.Row
+	storeDelay         time.Duration
 }
 
 type member struct {
@@ -42,7 +42,7 @@
 
 func newDeployment(t *testing.T, ids ...string) *deployment {
 	d := &deployment{
-		t: t, cut: make(map[fleet.InstanceID]bool), noStore: make(map[fleet.InstanceID]bool),
+		t: t, partitioned: make(map[fleet.InstanceID]bool), withoutStore: make(map[fleet.InstanceID]bool),
 		running: make(map[string]*member), rows: make(map[string]peer.Row),
 	}
 	for i, id := range ids {
@@ -51,13 +51,13 @@
 	return d
 }
 
-// start runs an instance, in place of an earlier run with the same id.
+// start starts an instance and stops its earlier run, if there is one.
 func (d *deployment) start(id string, epoch fleet.Epoch) *member {
 	d.halt(id)
 	m := &member{id: fleet.InstanceID(id), done: make(chan struct{})}
 	m.Controller = peer.New(peer.Config{
 		Client:    func(address string) nutmegpierv1connect.PeerServiceClient { return &client{d, m.id, address} },
-		Clock:     wall{},
+		Clock:     wallClock{},
 		Epoch:     epoch,
 		Instances: d,
 		Limits: func(content []byte) (peer.Limits, error) {
@@ -81,6 +81,7 @@
 	return m
 }
 
+// halt stops an instance without a planned leave.
 func (d *deployment) halt(id string) {
 	d.mu.Lock()
 	m := d.running[id]
@@ -98,14 +99,15 @@
 	}
 }
 
-// set changes the faults.
-func (d *deployment) set(change func()) {
+// update changes the injected faults.
+func (d *deployment) update(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change()
 }
 
-// List implements peer.InstanceList. The list keeps instances that halted.
+// List implements peer.InstanceList. It always returns all instances, also those
+// that are not running.
 func (d *deployment) List(context.Context) ([]peer.Listed, error) {
 	var listed []peer.Listed
 	for _, id := range []string{"a", "b", "c", "g"} {
@@ -114,13 +116,14 @@
 	return listed, nil
 }
 
-// publish writes a sheet and hands it to one instance.
+// publish writes a sheet to the store, offers it to one instance, and waits until
+// a majority holds it.
 func (d *deployment) publish(by *member, version fleet.SheetVersion, limits peer.Limits) {
 	content, err := json.Marshal(limits)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.set(func() {
+	d.update(func() {
 		head := d.rows[peer.HeadKey]
 		var value peer.Head
 		if err := json.Unmarshal(head.Value, &value); err != nil {
@@ -141,10 +144,11 @@
 	}
 }
 
-type wall struct{}
+type wallClock struct{}
 
-func (wall) Now() time.Time { return time.Now() }
+func (wallClock) Now() time.Time { return time.Now() }
 
+// table is the store as seen from one instance.
 type table struct {
 	d    *deployment
 	from fleet.InstanceID
@@ -152,14 +156,15 @@
 
 var _ peer.Table = &table{}
 
-func (s *table) reach(ctx context.Context) error {
+// simulateFaults waits for the injected delay and returns the injected error.
+func (s *table) simulateFaults(ctx context.Context) error {
 	s.d.mu.Lock()
-	blocked, slow := s.d.down || s.d.noStore[s.from], s.d.slow
+	blocked, storeDelay := s.d.storeDown || s.d.withoutStore[s.from], s.d.storeDelay
 	s.d.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(slow):
+	case <-time.After(storeDelay):
 	}
 	if blocked {
 		return errFault
@@ -168,7 +173,7 @@
 }
 
 func (s *table) Read(ctx context.Context, keys []string) ([]peer.Row, error) {
-	if err := s.reach(ctx); err != nil {
+	if err := s.simulateFaults(ctx); err != nil {
 		return nil, err
 	}
 	s.d.mu.Lock()
@@ -183,7 +188,7 @@
 }
 
 func (s *table) Write(ctx context.Context, conditions []peer.Condition, rows []peer.Row) (bool, []peer.Row, error) {
-	if err := s.reach(ctx); err != nil {
+	if err := s.simulateFaults(ctx); err != nil {
 		return false, nil, err
 	}
 	s.d.mu.Lock()
@@ -197,13 +202,13 @@
 		row.Revision = s.d.rows[row.Key].Revision + 1
 		s.d.rows[row.Key] = row
 	}
-	if s.d.loseAnswer {
+	if s.d.loseWriteResponses {
 		return false, nil, errFault
 	}
 	return true, rows, nil
 }
 
-// client calls the controller at an address directly.
+// client calls the methods of the controller at an address directly.
 type client struct {
 	d    *deployment
 	from fleet.InstanceID
@@ -214,10 +219,10 @@
 
 func call[Q, A any](ctx context.Context, c *client, method func(*member) func(context.Context, *connect.Request[Q]) (*connect.Response[A], error), request *connect.Request[Q]) (*connect.Response[A], error) {
 	c.d.mu.Lock()
-	target, blocked := c.d.running[c.to], c.d.cut[c.from] || c.d.cut[fleet.InstanceID(c.to)]
+	target, blocked := c.d.running[c.to], c.d.partitioned[c.from] || c.d.partitioned[fleet.InstanceID(c.to)]
 	c.d.mu.Unlock()
 	if blocked {
-		// A partition swallows the call.
+		// In a partition the call gets no response.
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -225,9 +230,9 @@
 		return nil, errFault
 	}
 	time.Sleep(time.Millisecond)
-	answer, err := method(target)(ctx, request)
+	response, err := method(target)(ctx, request)
 	time.Sleep(time.Millisecond)
-	return answer, err
+	return response, err
 }
 
 func (c *client) ConfirmTransfer(ctx context.Context, r *connect.Request[v1.ConfirmTransferRequest]) (*connect.Response[v1.ConfirmTransferResponse], error) {
--- a/peer/ledger.go
+++ b/peer/ledger.go
@@ -10,37 +10,56 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// Ledger holds the shares of one instance and decides how they change. Shares
-// belong to a roster generation and a sheet version. Over all instances they
-// never add up to more than the limits. It is not safe for concurrent use.
+// Ledger tracks the shares of one instance and decides how they change. Shares
+// belong to a roster generation and a sheet version. The shares of all instances
+// together never exceed the limits. It is not safe for concurrent use.
 //
-// After a new generation the instance first holds the smaller of its old and
-// its new share (joint phase). It takes the full new share once no member can
-// admit with an old share any more (full phase). A sheet version inside a
-// generation scales the shares; workspaces that the sheet adds get a share
-// after the same wait.
+// The full share of a member is the limit divided by the number of members.
+// After a new generation the instance first holds the smaller of its old share
+// and its new full share (joint phase). It takes the full share once no instance
+// can use an old share any more (full phase). A new sheet version within a
+// generation scales the shares; for workspaces and servers that the sheet adds,
+// the instance takes its full share once no instance can use the old sheet.
+// Afterwards, instances transfer shares to each other according to demand.
 type Ledger struct {
-	added      map[string]bool
-	barred     map[transferKey]fleet.RosterGeneration
-	demands    map[fleet.WorkspaceID]*workspace.Demand
-	generation *transition
-	floors     map[Member]TransferID
-	guestGifts bool
-	lease      time.Duration
-	lastID     TransferID
-	limiter    *workspace.Limiter
-	limits     Limits
-	needsReset bool
-	pending    map[TransferID]*Transfer
-	permits    map[fleet.ServerID]*permitState
-	priorGifts bool
-	roster     Roster
-	seen       map[transferKey]fleet.RosterGeneration
-	self       Member
-	version    *transition
-}
-
-// permitState is the connection permits for one backend server.
+	// addedLimits holds the IDs of the workspaces and servers that the sheet
+	// version added. The value is true if their full share may be taken when the
+	// sheet transition completes, and false if this instance skipped a sheet
+	// version and has to wait for the next generation.
+	addedLimits map[string]bool
+	// rejected holds the transfers to this instance that it must not accept any
+	// more. The value is one above the generation at that time.
+	rejected         map[transferKey]fleet.RosterGeneration
+	demands          map[fleet.WorkspaceID]*workspace.Demand
+	rosterTransition *transition
+	// donorSettledBelow holds for each donor the ID below which it has ended all
+	// its transfers.
+	donorSettledBelow map[Member]TransferID
+	// gaveToNonMember is true if this instance gave shares of the current
+	// generation to an instance outside the roster.
+	gaveToNonMember bool
+	lease           time.Duration
+	lastTransferID  TransferID
+	limiter         *workspace.Limiter
+	limits          Limits
+	// lostShares is true if shares were lost that only a new generation restores.
+	lostShares bool
+	// pendingTransfers holds the transfers from this instance of which it does
+	// not know yet whether the receiver accepted them.
+	pendingTransfers map[TransferID]*Transfer
+	permits          map[fleet.ServerID]*permitState
+	// gaveToNonMemberBefore is gaveToNonMember of the previous generation.
+	gaveToNonMemberBefore bool
+	roster                Roster
+	// accepted holds the transfers that this instance accepted, with the
+	// generation at that time.
+	accepted        map[transferKey]fleet.RosterGeneration
+	self            Member
+	sheetTransition *transition
+}
+
+// permitState holds the number of connection permits for one backend server, of
+// those in use, and of the requests that wait for one.
 type permitState struct {
 	held    int
 	inUse   int
@@ -50,59 +69,62 @@
 // NewLedger returns a ledger without shares.
 func NewLedger(self Member, lease time.Duration) *Ledger {
 	return &Ledger{
-		added:      make(map[string]bool),
-		barred:     make(map[transferKey]fleet.RosterGeneration),
-		demands:    make(map[fleet.WorkspaceID]*workspace.Demand),
-		floors:     make(map[Member]TransferID),
-		generation: newTransition(nil),
-		lease:      lease,
-		limiter:    workspace.NewLimiter(),
-		pending:    make(map[TransferID]*Transfer),
-		permits:    make(map[fleet.ServerID]*permitState),
-		seen:       make(map[transferKey]fleet.RosterGeneration),
-		self:       self,
-		version:    newTransition(nil),
-	}
-}
-
-// Accept takes a transfer to this instance, at most once. It reports whether
-// the shares are now held. A transfer of another generation or sheet version
-// can never be accepted later, because both only grow.
+		addedLimits:       make(map[string]bool),
+		rejected:          make(map[transferKey]fleet.RosterGeneration),
+		demands:           make(map[fleet.WorkspaceID]*workspace.Demand),
+		donorSettledBelow: make(map[Member]TransferID),
+		rosterTransition:  newTransition(nil),
+		lease:             lease,
+		limiter:           workspace.NewLimiter(),
+		pendingTransfers:  make(map[TransferID]*Transfer),
+		permits:           make(map[fleet.ServerID]*permitState),
+		accepted:          make(map[transferKey]fleet.RosterGeneration),
+		self:              self,
+		sheetTransition:   newTransition(nil),
+	}
+}
+
+// AcceptTransfer adds the shares of a transfer to those of this instance, at
+// most once, and reports whether they were added now or earlier. A transfer of
+// another generation or sheet version is not accepted, now or later, because
+// both versions only grow.
 func (l *Ledger) AcceptTransfer(now time.Time, transfer Transfer) bool {
 	key := transferKey{transfer.Donor, transfer.ID}
-	if l.seen[key] > 0 {
+	if l.accepted[key] > 0 {
 		return true
 	}
-	if transfer.Receiver != l.self || l.barred[key] > 0 || transfer.ID < l.floors[transfer.Donor] {
+	if transfer.Receiver != l.self || l.rejected[key] > 0 || transfer.ID < l.donorSettledBelow[transfer.Donor] {
 		return false
 	}
-	if !l.settled() || transfer.Versions != l.Versions() {
+	if !l.transitionsComplete() || transfer.Versions != l.Versions() {
 		return false
 	}
-	l.seen[key] = l.roster.Generation
-	l.merge(now, transfer.Rates, transfer.Permits)
+	l.accepted[key] = l.roster.Generation
+	l.addShares(now, transfer.Rates, transfer.Permits)
 	return true
 }
 
-// AdoptLimits takes the limits of a newer sheet version.
+// AdoptLimits replaces the limits by those of a newer sheet version and scales
+// the shares. Versions that are not
+// newer are ignored.
 func (l *Ledger) AdoptLimits(now time.Time, limits Limits) {
 	if limits.Version <= l.limits.Version {
 		return
 	}
 	old := l.limits
 	l.limits = limits
-	l.added = make(map[string]bool)
+	l.addedLimits = make(map[string]bool)
 	if old.Version == 0 {
-		l.grantFirst(now)
-		if l.roster.Generation > 1 && l.generation.completed {
-			l.raise(now, func(string) bool { return true })
+		l.grantInitialShares(now)
+		if l.roster.Generation > 1 && l.rosterTransition.completed {
+			l.takeFullShares(now, func(string) bool { return true })
 		}
 		return
 	}
 	consecutive := limits.Version == old.Version+1
 	if !consecutive {
-		clear(l.pending)
-		l.needsReset = true
+		clear(l.pendingTransfers)
+		l.lostShares = true
 	}
 	for _, rate := range old.Rates {
 		if !slices.ContainsFunc(limits.Rates, func(r workspace.Limit) bool { return r.Workspace == rate.Workspace }) {
@@ -114,51 +136,54 @@
 		l.scaleRate(now, old, rate, consecutive)
 	}
 	l.scalePermits(old, consecutive)
-	l.scalePending(old)
-	l.version = newTransition(l.roster.Members)
-	l.version.confirmed[l.self] = true
-	l.version.holding[l.self] = true
+	l.scalePendingTransfers(old)
+	l.sheetTransition = newTransition(l.roster.Members)
+	l.sheetTransition.confirmed[l.self] = true
+	l.sheetTransition.adopted[l.self] = true
 }
 
-// AdoptRoster takes a newer roster and enters its joint phase.
+// AdoptRoster adopts a newer roster and enters its joint phase. Rosters that
+// are not newer are ignored.
 func (l *Ledger) AdoptRoster(now time.Time, roster Roster) {
 	if roster.Generation <= l.roster.Generation {
 		return
 	}
-	last := l.roster.Generation
+	previousGeneration := l.roster.Generation
 	l.roster = roster
-	l.priorGifts = l.guestGifts
-	l.guestGifts = false
-	l.needsReset = false
-	clear(l.pending)
-	l.forgetTransfers()
-	l.generation = newTransition(roster.Previous)
-	l.generation.holding[l.self] = true
-	l.generation.guests = l.priorGifts
-	if last == 0 {
-		l.grantFirst(now)
+	l.gaveToNonMemberBefore = l.gaveToNonMember
+	l.gaveToNonMember = false
+	l.lostShares = false
+	clear(l.pendingTransfers)
+	l.forgetOldTransfers()
+	l.rosterTransition = newTransition(roster.Previous)
+	l.rosterTransition.adopted[l.self] = true
+	l.rosterTransition.nonMemberHasShares = l.gaveToNonMemberBefore
+	if previousGeneration == 0 {
+		l.grantInitialShares(now)
 		return
 	}
 	for _, rate := range l.limits.Rates {
 		held := l.limiter.Share(now, rate.Workspace)
-		if roster.Generation > last+1 {
-			// The others have already taken the shares of a generation that
-			// this instance skipped, so what it holds is counted twice.
+		if roster.Generation > previousGeneration+1 {
+			// This instance skipped a generation. The other members may already
+			// have taken their full shares of it, which overlap with the shares
+			// held here.
 			held = workspace.Share{}
 		}
-		l.limiter.Set(now, rate.Workspace, workspace.Minimum(held, l.fullRate(rate)))
+		l.limiter.Set(now, rate.Workspace, workspace.Minimum(held, l.fullRateShare(rate)))
 	}
 	for _, limit := range l.limits.Permits {
 		state := l.permitState(limit.Server)
 		held := state.held
-		if roster.Generation > last+1 {
+		if roster.Generation > previousGeneration+1 {
 			held = 0
 		}
-		state.held = min(held, l.fullPermits(limit))
+		state.held = min(held, l.fullPermitShare(limit))
 	}
 }
 
-// Admit decides on one request of a workspace and counts it as demand.
+// Admit decides whether to admit one request of a workspace, and counts the
+// request as demand.
 func (l *Ledger) Admit(now time.Time, id fleet.WorkspaceID) workspace.Decision {
 	decision := l.limiter.Admit(now, id)
 	if !slices.ContainsFunc(l.limits.Rates, func(r workspace.Limit) bool { return r.Workspace == id }) {
@@ -171,46 +196,48 @@
 	return decision
 }
 
-// Advance completes the joint phase when its condition holds, and reports
-// whether shares grew. LastStoreRead is the time from which the newest read of the
-// head row counts.
+// AdvanceTransitions completes the transitions to the current roster and sheet
+// where possible, takes the shares that this allows, and reports whether shares
+// grew. StoreRead is the send time of the newest read of the head row that counts
+// for validity.
 func (l *Ledger) AdvanceTransitions(now, storeRead time.Time) bool {
-	hadGeneration, hadVersion := l.generation.completed, l.version.completed
-	l.confirmSelf()
-	l.generation.completed = hadGeneration || l.generation.complete(now, storeRead, l.lease)
-	l.version.completed = hadVersion || l.version.complete(now, storeRead, l.lease)
+	rosterWasComplete, sheetWasComplete := l.rosterTransition.completed, l.sheetTransition.completed
+	l.confirmOwnJointPhase()
+	l.rosterTransition.completed = rosterWasComplete || l.rosterTransition.updateCompleted(now, storeRead, l.lease)
+	l.sheetTransition.completed = sheetWasComplete || l.sheetTransition.updateCompleted(now, storeRead, l.lease)
 	switch {
-	case !l.generation.completed || hadGeneration && hadVersion:
+	case !l.rosterTransition.completed || rosterWasComplete && sheetWasComplete:
 		return false
-	case !hadGeneration:
-		l.raise(now, func(name string) bool {
-			_, waits := l.added[name]
-			return l.version.completed || !waits
+	case !rosterWasComplete:
+		l.takeFullShares(now, func(name string) bool {
+			_, added := l.addedLimits[name]
+			return l.sheetTransition.completed || !added
 		})
 		return true
-	case l.version.completed:
-		l.raise(now, func(name string) bool { return l.added[name] })
+	case l.sheetTransition.completed:
+		l.takeFullShares(now, func(name string) bool { return l.addedLimits[name] })
 		return true
 	}
 	return false
 }
 
-// Confirm ends a transfer that this instance gave.
+// CompleteTransfer ends a transfer from this instance that the receiver accepted.
 func (l *Ledger) CompleteTransfer(receiver Member, id TransferID) {
-	if transfer := l.pending[id]; transfer != nil && transfer.Receiver == receiver {
-		delete(l.pending, id)
+	if transfer := l.pendingTransfers[id]; transfer != nil && transfer.Receiver == receiver {
+		delete(l.pendingTransfers, id)
 	}
 }
 
-// Give takes shares out of this instance for a peer. It keeps what the recent
-// demand here needs. The shares are gone from this instance when it returns.
+// StartTransfer removes shares from this instance for a peer, as far as recent
+// demand here does not need them. When it returns, this instance no longer holds
+// the shares. The result is empty if there is nothing to give.
 func (l *Ledger) StartTransfer(now time.Time, wanted Wanted) Transfer {
 	transfer := Transfer{Donor: l.self, Receiver: wanted.Receiver, Versions: l.Versions()}
-	if wanted.Receiver == l.self || !l.settled() || wanted.Versions != l.Versions() || !now.Before(l.limiter.ValidUntil()) {
+	if wanted.Receiver == l.self || !l.transitionsComplete() || wanted.Versions != l.Versions() || !now.Before(l.limiter.ValidUntil()) {
 		return transfer
 	}
 	for _, want := range wanted.Rates {
-		if given, ok := l.giveRate(now, want); ok {
+		if given, ok := l.splitRate(now, want); ok {
 			transfer.Rates = append(transfer.Rates, given)
 		}
 	}
@@ -228,22 +255,22 @@
 		return transfer
 	}
 	if !l.roster.Has(wanted.Receiver) {
-		l.guestGifts = true
+		l.gaveToNonMember = true
 	}
-	l.lastID++
-	transfer.ID = l.lastID
-	l.pending[transfer.ID] = &transfer
+	l.lastTransferID++
+	transfer.ID = l.lastTransferID
+	l.pendingTransfers[transfer.ID] = &transfer
 	return transfer
 }
 
-// InFullPhase reports whether the joint phase of the generation is over.
+// InFullPhase reports whether the joint phase of the current generation is over.
 func (l *Ledger) InFullPhase() bool {
-	return l.generation.completed
+	return l.rosterTransition.completed
 }
 
-// JointPhase returns the newest generation for which this instance holds
-// no more than the smaller share. Connections above the permits held have to
-// be closed first.
+// JointGeneration returns the newest generation for which this instance holds no
+// more than the smaller of its old and its new share. While more connections are
+// open than permits are held, this is the previous generation.
 func (l *Ledger) JointGeneration() fleet.RosterGeneration {
 	for _, state := range l.permits {
 		if state.inUse > state.held {
@@ -253,28 +280,30 @@
 	return l.roster.Generation
 }
 
-// NeedsReset reports whether shares were lost that only a new generation
-// brings back.
+// NeedsNewGeneration reports whether shares were lost, or given to an instance
+// outside the roster. Only a new generation divides them among the members again.
 func (l *Ledger) NeedsNewGeneration() bool {
-	return l.needsReset || l.guestGifts
+	return l.lostShares || l.gaveToNonMember
 }
 
-// Pending returns the given transfers whose fate is not known, oldest first.
+// PendingTransfers returns the transfers from this instance of which it does not
+// know yet whether the receiver accepted them, oldest first.
 func (l *Ledger) PendingTransfers() []Transfer {
-	transfers := make([]Transfer, 0, len(l.pending))
-	for _, transfer := range l.pending {
+	transfers := make([]Transfer, 0, len(l.pendingTransfers))
+	for _, transfer := range l.pendingTransfers {
 		transfers = append(transfers, *transfer)
 	}
 	slices.SortFunc(transfers, func(a, b Transfer) int { return int(a.ID) - int(b.ID) })
 	return transfers
 }
 
-// PermitLimits returns the budgets of the sheet version held.
+// PermitLimits returns the connection budgets of the current sheet version.
 func (l *Ledger) PermitLimits() []PermitLimit {
 	return l.limits.Permits
 }
 
-// Permits returns the number of connections that may be open to a server.
+// Permits returns the number of connections that this instance may have open to
+// a server. It is zero while the instance is not valid.
 func (l *Ledger) Permits(now time.Time, server fleet.ServerID) int {
 	state := l.permits[server]
 	if state == nil || !now.Before(l.limiter.ValidUntil()) {
@@ -283,36 +312,38 @@
 	return state.held
 }
 
-// Query reports whether a transfer to this instance was accepted. The answer
-// no bars the transfer for good.
-func (l *Ledger) AcceptedOrReject(giver Member, id TransferID) bool {
-	key := transferKey{giver, id}
-	if l.seen[key] > 0 {
+// AcceptedOrReject reports whether a transfer to this instance was accepted. If
+// it was not, the transfer is rejected and cannot be accepted later.
+func (l *Ledger) AcceptedOrReject(donor Member, id TransferID) bool {
+	key := transferKey{donor, id}
+	if l.accepted[key] > 0 {
 		return true
 	}
-	l.barred[key] = l.roster.Generation + 1
+	l.rejected[key] = l.roster.Generation + 1
 	return false
 }
 
-// Refused ends a given transfer that the receiver has barred. The shares come
-// back, unless a new generation has replaced them.
+// ReclaimTransfer ends a transfer from this instance that the receiver rejected,
+// and adds the shares back. Transfers from before the last change of the roster
+// are no longer pending, so their shares are not reclaimed.
 func (l *Ledger) ReclaimTransfer(now time.Time, receiver Member, id TransferID) {
-	transfer := l.pending[id]
+	transfer := l.pendingTransfers[id]
 	if transfer == nil || transfer.Receiver != receiver {
 		return
 	}
-	delete(l.pending, id)
-	l.merge(now, transfer.Rates, transfer.Permits)
+	delete(l.pendingTransfers, id)
+	l.addShares(now, transfer.Rates, transfer.Permits)
 }
 
-// Report returns what this instance tells its peers of itself.
+// Report returns the versions and share state that this instance sends to its
+// peers.
 func (l *Ledger) Report() Report {
 	report := Report{
-		GuestGifts: l.guestGifts,
+		GuestGifts: l.gaveToNonMember,
 		Held:       l.Versions(),
 		JointPhase: l.JointGeneration(),
 		NeedsReset: l.NeedsNewGeneration(),
-		PriorGifts: l.priorGifts,
+		PriorGifts: l.gaveToNonMemberBefore,
 	}
 	if l.InFullPhase() {
 		report.FullPhase = l.roster.Generation
@@ -320,43 +351,43 @@
 	return report
 }
 
-// RecordEnded records that a member's process is gone for certain.
+// RecordEnded records that the process of a member has certainly ended.
 func (l *Ledger) RecordEnded(member Member) {
-	l.generation.ended[member] = true
-	l.version.ended[member] = true
+	l.rosterTransition.ended[member] = true
+	l.sheetTransition.ended[member] = true
 }
 
-// RecordReport records what a peer said of itself. Reports that name versions
-// that are not held here are ignored, because the peer may know of a sheet
-// that this instance would otherwise miss.
+// RecordReport records the report of a peer. Reports that name newer versions
+// than this instance holds are ignored, because the peer may know of a sheet that
+// this instance has to adopt first.
 func (l *Ledger) RecordReport(from Member, report Report) {
 	if !l.Versions().Covers(report.Held) {
 		return
 	}
 	if report.Held.Generation == l.roster.Generation {
-		l.generation.holding[from] = true
-		l.generation.guests = l.generation.guests || report.PriorGifts
+		l.rosterTransition.adopted[from] = true
+		l.rosterTransition.nonMemberHasShares = l.rosterTransition.nonMemberHasShares || report.PriorGifts
 	}
-	l.version.guests = l.version.guests || report.GuestGifts || report.PriorGifts
+	l.sheetTransition.nonMemberHasShares = l.sheetTransition.nonMemberHasShares || report.GuestGifts || report.PriorGifts
 	if report.JointPhase == l.roster.Generation {
-		l.generation.confirmed[from] = true
+		l.rosterTransition.confirmed[from] = true
 	}
 	if report.FullPhase == l.roster.Generation && report.FullPhase > 0 {
-		l.generation.completeByReport()
+		l.rosterTransition.completeByReport()
 	}
 	if report.Held.Sheet == l.limits.Version {
-		l.version.confirmed[from] = true
-		l.version.holding[from] = true
+		l.sheetTransition.confirmed[from] = true
+		l.sheetTransition.adopted[from] = true
 	}
 }
 
-// Renew sets the end of this instance's validity.
+// Renew sets the time until which this instance is valid.
 func (l *Ledger) Renew(now, validUntil time.Time) {
 	l.limiter.Renew(now, validUntil)
 }
 
-// ReportDemand records the open connections to a server and the requests that
-// wait for a permit.
+// ReportDemand records the number of permits in use for a server and of requests
+// that wait for one.
 func (l *Ledger) ReportDemand(server fleet.ServerID, inUse, waiting int) {
 	if l.permits[server] == nil && !slices.ContainsFunc(l.limits.Permits, func(p PermitLimit) bool { return p.Server == server }) {
 		return
@@ -366,57 +397,59 @@
 	state.waiting = waiting
 }
 
-// Roster returns the newest roster held.
+// Roster returns the newest roster that this instance holds.
 func (l *Ledger) Roster() Roster {
 	return l.roster
 }
 
-// Settle drops the records of transfers below the given id, which the giver
-// has ended. None of them is accepted later.
-func (l *Ledger) ForgetSettledTransfers(giver Member, below TransferID) {
-	l.floors[giver] = max(l.floors[giver], below)
-	for _, records := range []map[transferKey]fleet.RosterGeneration{l.seen, l.barred} {
+// ForgetSettledTransfers deletes the records of transfers with lower IDs, which
+// the donor has ended. Transfers with lower IDs are not accepted later.
+func (l *Ledger) ForgetSettledTransfers(donor Member, below TransferID) {
+	l.donorSettledBelow[donor] = max(l.donorSettledBelow[donor], below)
+	for _, records := range []map[transferKey]fleet.RosterGeneration{l.accepted, l.rejected} {
 		for key := range records {
-			if key.giver == giver && key.id < below {
+			if key.donor == donor && key.id < below {
 				delete(records, key)
 			}
 		}
 	}
 }
 
-// SettledBelow returns the id below which this instance has ended all of its
-// transfers.
+// SettledBelow returns the ID below which this instance has ended all transfers
+// that it started.
 func (l *Ledger) SettledBelow() TransferID {
-	below := l.lastID + 1
-	for id := range l.pending {
+	below := l.lastTransferID + 1
+	for id := range l.pendingTransfers {
 		below = min(below, id)
 	}
 	return below
 }
 
-// Share returns the share of a workspace that is held now.
+// Share returns the share of a workspace's rate limit that this instance holds.
 func (l *Ledger) Share(now time.Time, id fleet.WorkspaceID) workspace.Share {
 	return l.limiter.Share(now, id)
 }
 
-// Versions returns the roster generation and sheet version of the shares.
+// Versions returns the roster generation and sheet version that this instance
+// holds.
 func (l *Ledger) Versions() Versions {
 	return Versions{Generation: l.roster.Generation, Sheet: l.limits.Version}
 }
 
-// Wanted returns what this instance should ask its peers for.
+// Wanted returns the shares that this instance lacks for its recent demand. It is
+// empty while a transition is in progress or this instance is not valid.
 func (l *Ledger) Wanted(now time.Time) Wanted {
 	wanted := Wanted{Receiver: l.self, Versions: l.Versions()}
-	if !l.settled() || !now.Before(l.limiter.ValidUntil()) {
+	if !l.transitionsComplete() || !now.Before(l.limiter.ValidUntil()) {
 		return wanted
 	}
 	for _, rate := range l.limits.Rates {
-		d := l.demands[rate.Workspace]
-		if d == nil || d.Rate(now) < 1e-3 {
+		demand := l.demands[rate.Workspace]
+		if demand == nil || demand.Rate(now) < 1e-3 {
 			continue
 		}
 		share := l.limiter.Share(now, rate.Workspace)
-		if amount := d.Wanted(now, share); d.Starved() || amount.Level > 0 || amount.Rate > 0 {
+		if amount := demand.Wanted(now, share); demand.Starved() || amount.Level > 0 || amount.Rate > 0 {
 			wanted.Rates = append(wanted.Rates, RateAmount{Share: amount, Workspace: rate.Workspace})
 		}
 	}
@@ -429,17 +462,19 @@
 	return wanted
 }
 
-func (l *Ledger) confirmSelf() {
+// confirmOwnJointPhase confirms the roster transition for this instance once its
+// open connections do not exceed the permits held.
+func (l *Ledger) confirmOwnJointPhase() {
 	if l.JointGeneration() == l.roster.Generation {
-		l.generation.confirmed[l.self] = true
+		l.rosterTransition.confirmed[l.self] = true
 	}
 }
 
-// forgetTransfers drops the records of transfers that no giver asks for any
-// more. A giver that still holds the generation before may ask for those of
-// that generation.
-func (l *Ledger) forgetTransfers() {
-	for _, records := range []map[transferKey]fleet.RosterGeneration{l.seen, l.barred} {
+// forgetOldTransfers deletes the records of transfers of which no donor can query
+// the outcome any more. A donor that has not adopted the current generation may
+// still query transfers of the previous one.
+func (l *Ledger) forgetOldTransfers() {
+	for _, records := range []map[transferKey]fleet.RosterGeneration{l.accepted, l.rejected} {
 		for key, generation := range records {
 			if generation+1 < l.roster.Generation {
 				delete(records, key)
@@ -448,23 +483,27 @@
 	}
 }
 
-func (l *Ledger) fullPermits(limit PermitLimit) int {
+// fullPermitShare returns the full share of a connection budget, or zero if this
+// instance is not a member.
+func (l *Ledger) fullPermitShare(limit PermitLimit) int {
 	index := slices.Index(l.roster.Members, l.self)
 	if index < 0 {
 		return 0
 	}
 	count := len(l.roster.Members)
-	// The remainder starts at another member for each server, so that no
-	// member gets the extra permit of all servers.
-	rotated := (index + int(xxhash.Sum64String(string(limit.Server))%uint64(count))) % count
+	// The remainder of the division goes to different members for different
+	// servers, so that no member gets the extra permit of every server.
+	rotatedIndex := (index + int(xxhash.Sum64String(string(limit.Server))%uint64(count))) % count
 	full := limit.Budget / count
-	if rotated < limit.Budget%count {
+	if rotatedIndex < limit.Budget%count {
 		full++
 	}
 	return full
 }
 
-func (l *Ledger) fullRate(limit workspace.Limit) workspace.Share {
+// fullRateShare returns the full share of a rate limit with a full bucket, or an
+// empty share if this instance is not a member.
+func (l *Ledger) fullRateShare(limit workspace.Limit) workspace.Share {
 	if !l.roster.Has(l.self) {
 		return workspace.Share{}
 	}
@@ -472,13 +511,15 @@
 	return full
 }
 
-func (l *Ledger) giveRate(now time.Time, want RateAmount) (RateAmount, bool) {
+// splitRate removes up to the wanted amount from the share of a workspace and
+// returns it. The result is false if there is nothing to give.
+func (l *Ledger) splitRate(now time.Time, want RateAmount) (RateAmount, bool) {
 	share := l.limiter.Share(now, want.Workspace)
-	d := l.demands[want.Workspace]
-	if d == nil {
-		d = workspace.NewDemand(now)
+	demand := l.demands[want.Workspace]
+	if demand == nil {
+		demand = workspace.NewDemand(now)
 	}
-	given, kept := d.Spare(now, share, want.Share)
+	given, kept := demand.Spare(now, share, want.Share)
 	if given == (workspace.Share{}) {
 		return RateAmount{}, false
 	}
@@ -486,22 +527,25 @@
 	return RateAmount{Share: given, Workspace: want.Workspace}, true
 }
 
-// grantFirst grants the shares of the first generation with full buckets.
-// Nobody can have admitted anything before it. In later generations the first
-// share comes with the full phase and an empty bucket.
-func (l *Ledger) grantFirst(now time.Time) {
+// grantInitialShares grants the full shares of the first generation with full
+// token buckets, which is safe because no instance has admitted requests before.
+// In later generations a new member gets its first share in the full phase, with
+// an empty bucket.
+func (l *Ledger) grantInitialShares(now time.Time) {
 	if l.roster.Generation != 1 || l.limits.Version == 0 || len(l.roster.Previous) != 0 {
 		return
 	}
 	for _, rate := range l.limits.Rates {
-		l.limiter.Set(now, rate.Workspace, l.fullRate(rate))
+		l.limiter.Set(now, rate.Workspace, l.fullRateShare(rate))
 	}
 	for _, limit := range l.limits.Permits {
-		l.permitState(limit.Server).held = l.fullPermits(limit)
+		l.permitState(limit.Server).held = l.fullPermitShare(limit)
 	}
 }
 
-func (l *Ledger) merge(now time.Time, rates []RateAmount, permits []PermitAmount) {
+// addShares adds shares of a transfer to those of this instance. Shares of limits
+// that the sheet no longer has are dropped.
+func (l *Ledger) addShares(now time.Time, rates []RateAmount, permits []PermitAmount) {
 	for _, rate := range rates {
 		if slices.ContainsFunc(l.limits.Rates, func(r workspace.Limit) bool { return r.Workspace == rate.Workspace }) {
 			l.limiter.Set(now, rate.Workspace, workspace.Merge(l.limiter.Share(now, rate.Workspace), rate.Share))
@@ -514,6 +558,7 @@
 	}
 }
 
+// permitState returns the state for a server and creates it if necessary.
 func (l *Ledger) permitState(server fleet.ServerID) *permitState {
 	if l.permits[server] == nil {
 		l.permits[server] = &permitState{}
@@ -521,30 +566,34 @@
 	return l.permits[server]
 }
 
-// raise takes the full share of the limits that the filter names.
-func (l *Ledger) raise(now time.Time, filter func(name string) bool) {
+// takeFullShares sets the shares of those limits to the full share for which the
+// filter returns true. The name is the ID of a workspace or a server.
+func (l *Ledger) takeFullShares(now time.Time, filter func(name string) bool) {
 	for _, rate := range l.limits.Rates {
 		if filter(string(rate.Workspace)) {
-			full := l.fullRate(rate)
-			// The level stays, so that a new generation grants no second burst.
+			full := l.fullRateShare(rate)
+			// The bucket level is kept, so that a new generation does not grant
+			// a second burst.
 			full.Level = l.limiter.Share(now, rate.Workspace).Level
 			l.limiter.Set(now, rate.Workspace, full)
 		}
 	}
 	for _, limit := range l.limits.Permits {
 		if filter(string(limit.Server)) {
-			l.permitState(limit.Server).held = l.fullPermits(limit)
+			l.permitState(limit.Server).held = l.fullPermitShare(limit)
 		}
 	}
 }
 
-// settled reports whether shares may be moved: both transitions are over.
-func (l *Ledger) settled() bool {
-	return l.generation.completed && l.version.completed
+// transitionsComplete reports whether the transitions to the current roster and
+// sheet are complete, so that shares may be transferred.
+func (l *Ledger) transitionsComplete() bool {
+	return l.rosterTransition.completed && l.sheetTransition.completed
 }
 
-// Quorums returns the groups of members of which a majority each is needed to
-// vouch or to accept. In the joint phase the generation before counts too.
+// Quorums returns the sets of members of which a majority each is needed to grant
+// a validity lease and to accept a sheet. In the joint phase these are the
+// members of the previous generation and those of the current one.
 func (l *Ledger) Quorums() [][]Member {
 	if l.roster.Generation == 0 {
 		return nil
--- a/peer/ledger_test.go
+++ b/peer/ledger_test.go
@@ -14,8 +14,8 @@
 	"github.com/nutmegpier/nutmegpier/peer"
 )
 
-// TestMain fixes the seed of the property tests, so that each run gives the
-// same verdict.
+// TestMain sets a fixed seed for the property tests, so that their result is
+// reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261204", "rapid.nofailfile": "true"} {
@@ -26,123 +26,127 @@
 	os.Exit(m.Run())
 }
 
-// step runs one action of the model. The draws decide the whole run.
-func (w *world) step(random *rand.Rand) error {
-	n := w.nodes[random.IntN(len(w.nodes))]
-	other := w.nodes[random.IntN(len(w.nodes))]
+// step runs one random action and checks the invariants. The sequence of random
+// numbers determines the whole run.
+func (s *simulation) step(random *rand.Rand) error {
+	n := s.nodes[random.IntN(len(s.nodes))]
+	other := s.nodes[random.IntN(len(s.nodes))]
 	switch action := random.IntN(200); {
 	case action < 30:
-		w.now += time.Duration(random.IntN(300)) * time.Millisecond
+		s.now += time.Duration(random.IntN(300)) * time.Millisecond
 	case action < 31:
-		w.now += time.Duration(random.IntN(6000)) * time.Millisecond
+		s.now += time.Duration(random.IntN(6000)) * time.Millisecond
 	case action < 45:
-		w.readStore(n, random.IntN(3) == 0)
+		s.readStore(n, random.IntN(3) == 0)
 	case action < 75:
-		for _, to := range w.nodes {
+		for _, to := range s.nodes {
 			if to != n {
-				w.exchange(n, to, random.IntN(8) != 0)
+				s.exchange(n, to, random.IntN(8) != 0)
 			}
 		}
 	case action < 95:
 		if n != other {
-			w.ask(n, other)
+			s.requestShares(n, other)
 		}
 	case action < 100:
-		w.query(n)
+		s.queryPendingTransfers(n)
 	case action < 125:
-		return w.admit(n, 1+random.IntN(8))
+		return s.admit(n, 1+random.IntN(8))
 	case action < 133:
 		n.ledger.ReportDemand("s", random.IntN(2), random.IntN(3))
 	case action < 135:
-		w.propose(n, random.IntN(16))
+		s.proposeRoster(n, random.IntN(16))
 	case action < 138:
-		if w.publish == nil {
-			w.writeSheet([]float64{0.5, 1, 1, 1.5}[random.IntN(4)])
-			w.publish = peer.NewAcceptance(fleet.SheetVersion(len(w.limits) - 1))
+		if s.publication == nil {
+			s.writeSheet([]float64{0.5, 1, 1, 1.5}[random.IntN(4)])
+			s.publication = peer.NewAcceptance(fleet.SheetVersion(len(s.limits) - 1))
 		}
 	case action < 139:
-		w.restart(n)
+		s.restart(n)
 	case action < 144:
 		n.paused = action == 139
 	case action < 150:
-		w.refresh(n)
-	case action < 153 && len(w.slow) > 0:
-		i := random.IntN(len(w.slow))
-		message := w.slow[i]
-		w.slow = append(w.slow[:i:i], w.slow[i+1:]...)
+		s.refresh(n)
+	case action < 153 && len(s.delayed) > 0:
+		i := random.IntN(len(s.delayed))
+		message := s.delayed[i]
+		s.delayed = append(s.delayed[:i:i], s.delayed[i+1:]...)
 		message()
-	case action < 157 && len(w.queue) > 0:
-		w.queue = w.queue[1:]
+	case action < 157 && len(s.queue) > 0:
+		s.queue = s.queue[1:]
 	default:
 		for range 1 + random.IntN(20) {
-			w.deliver(random)
+			s.deliver(random)
 		}
 	}
-	return w.check()
+	return s.checkInvariants()
 }
 
-// deliver hands over one queued message, usually the oldest one.
-func (w *world) deliver(random *rand.Rand) {
-	if len(w.queue) == 0 {
+// deliver delivers one queued message, usually the oldest one.
+func (s *simulation) deliver(random *rand.Rand) {
+	if len(s.queue) == 0 {
 		return
 	}
 	i := 0
 	if random.IntN(4) == 0 {
-		i = random.IntN(len(w.queue))
+		i = random.IntN(len(s.queue))
 	}
-	message := w.queue[i]
-	w.queue = append(w.queue[:i:i], w.queue[i+1:]...)
+	message := s.queue[i]
+	s.queue = append(s.queue[:i:i], s.queue[i+1:]...)
 	message()
 }
 
-func run(m mutation, seed uint64, steps int) error {
+// runSimulation runs a number of random steps and returns the first violation of
+// an invariant.
+func runSimulation(m mutation, seed uint64, steps int) error {
 	random := rand.New(rand.NewPCG(seed, 1))
-	w := newWorld(random, m)
+	s := newSimulation(random, m)
 	for i := range steps {
-		if err := w.step(random); err != nil {
+		if err := s.step(random); err != nil {
 			return fmt.Errorf("seed %d, step %d: %w", seed, i, err)
 		}
 	}
 	return nil
 }
 
-// TestLimitsAndVersionsHold guards against more admissions or permits over all
-// instances than the limits, and against a valid instance that misses an
-// accepted sheet version.
+// TestLimitsAndVersionsHold guards against instances that together admit more
+// requests or hold more permits than the limits allow, and against an instance
+// that is valid without an accepted sheet version.
 func TestLimitsAndVersionsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := run(mutationNone, rapid.Uint64().Draw(t, "seed"), 600); err != nil {
+		if err := runSimulation(mutationNone, rapid.Uint64().Draw(t, "seed"), 600); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestMutationsAreCaught guards against a property test that notices nothing.
-// The search starts close to a seed that is known to show the mutation.
+// TestMutationsAreCaught guards against a property test that does not detect
+// faults. For each mutation the search starts close to a seed that is known to
+// reveal it.
 func TestMutationsAreCaught(t *testing.T) {
 	for m, start := range map[mutation]uint64{
-		mutationAcceptedTwice:     0,
-		mutationAnswerTime:        470,
-		mutationBarIgnored:        870,
-		mutationCapacityKept:      20,
-		mutationJointSkipped:      0,
-		mutationLeaseIgnored:      60,
-		mutationMinority:          610,
-		mutationNewEpochAnswers:   4840,
-		mutationSubtractedLate:    0,
-		mutationVersionsUnchecked: 1210,
+		mutationAcceptedTwice:        0,
+		mutationLeaseFromResponse:    470,
+		mutationRejectionIgnored:     870,
+		mutationDonorKeepsCapacity:   20,
+		mutationJointSkipped:         0,
+		mutationLeaseIgnored:         60,
+		mutationMinorityGrants:       610,
+		mutationNewEpochAnswersQuery: 4840,
+		mutationDonorKeepsShares:     0,
+		mutationGrantBeforeFetch:     1210,
 	} {
 		t.Run(string(m), func(t *testing.T) {
 			for seed := start; seed < start+50; seed++ {
-				if err := run(mutationNone, seed, 600); err != nil {
-					t.Fatalf("without mutation: %v", err)
+				if err := runSimulation(mutationNone, seed, 600); err != nil {
+					t.Fatalf("the unmodified ledger violates an invariant: %v", err)
 				}
-				if err := run(m, seed, 600); err != nil {
+				if err := runSimulation(m, seed, 600); err != nil {
 					t.Log(err)
 					return
 				}
 			}
-			t.Errorf("mutation %s was not caught", m)
+			t.Errorf("the property test does not detect mutation %s", m)
 		})
 	}
 }
--- a/peer/membership.go
+++ b/peer/membership.go
@@ -10,93 +10,108 @@
 )
 
 const (
-	// silentAfter is the time without an answer after which a member counts
+	// silenceThreshold is the time without a message after which a member counts
 	// as silent. It is several exchange periods, so that one lost message does
 	// not matter.
-	silentAfter = 2 * time.Second
-	// forgetAfter is the time after which a run outside the roster is forgotten.
-	forgetAfter = time.Hour
-	// evictAfter is the time of silence or absence from the platform's list
-	// after which an eviction may be proposed. Short pauses must not cause a
-	// new generation.
-	evictAfter = 10 * time.Second
+	silenceThreshold = 2 * time.Second
+	// forgetDelay is the time after which the records of a run outside the roster
+	// are deleted.
+	forgetDelay = time.Hour
+	// evictionDelay is the time of silence, or of absence from the platform's
+	// list, after which the eviction of a member may be proposed. Short pauses
+	// must not cause a new generation.
+	evictionDelay = 10 * time.Second
 )
 
-// State is what is known of one run of an instance.
+// State is the state of one run of an instance, as seen by this instance.
 type State string
 
-// States of an instance.
+// States of a run.
 const (
-	// StateDead is a member that may be evicted.
+	// StateDead is a member that has been silent for evictionDelay, or is silent
+	// and has been absent from the platform's list for that long. It may be
+	// evicted.
 	StateDead State = "Dead"
-	// StateLeaving is a member that answers and has announced its planned stop.
+	// StateLeaving is a member that is not silent and announced its planned stop.
 	StateLeaving State = "Leaving"
-	// StateLive is a member that answered lately.
+	// StateLive is a member that was heard from recently.
 	StateLive State = "Live"
-	// StateReplaced is a member whose instance answered with another epoch.
+	// StateReplaced is a member that ended, because another run of its
+	// instance was found.
 	StateReplaced State = "Replaced"
-	// StateSilent is a member that has not answered lately.
+	// StateSilent is a member that has not been heard from recently.
 	StateSilent State = "Silent"
 )
 
-// Listed is one entry of the platform's lagging list of instances.
+// Listed is one entry of the platform's list of instances. The list lags behind
+// the actual state.
 type Listed struct {
+	// Address is "ip:port" of the peer listener.
 	Address  string
 	Instance fleet.InstanceID
-	Leaving  bool
+	// Leaving is true if the instance is shutting down.
+	Leaving bool
 }
 
-// Liveness is what a member says about the silence of a third one.
+// Liveness is a report about a third member, sent between two members.
 type Liveness struct {
-	Member  Member
+	Member Member
+	// Silence is the time since the reporting member heard from it.
 	Silence time.Duration
 }
 
-// Membership joins the platform's list with the evidence of the exchanges. It
-// is not safe for concurrent use.
+// Membership tracks the state of the other instances from the platform's list
+// and from the messages of the peers, and decides on changes of the roster. It is
+// not safe for concurrent use.
 type Membership struct {
-	absentSince map[fleet.InstanceID]time.Time
-	heard       map[Member]*contact
-	leaving     bool
-	listed      []Listed
-	replaced    map[Member]time.Time
-	reports     map[Member]map[Member]time.Time
+	absentFromListSince map[fleet.InstanceID]time.Time
+	contacts            map[Member]*contact
+	leaving             bool
+	listed              []Listed
+	// replaced holds the runs that ended because a new run of the instance was
+	// found, with the time at which it was found.
+	replaced map[Member]time.Time
+	// lastHeardBy holds for each reporting member the times at which it last heard
+	// from other members. Only silent members are reported.
+	lastHeardBy map[Member]map[Member]time.Time
 	self        Member
-	started     time.Time
+	startedAt   time.Time
 }
 
-// contact is what one run of an instance said last.
+// contact is the content of the last message from a run of an instance.
 type contact struct {
+	// at is the time at which the message was received.
 	at      time.Time
 	held    Versions
 	leaving bool
 }
 
-// NewMembership returns the membership as known at the start of an instance.
+// NewMembership returns the membership at the start of this instance, which knows
+// no other instances.
 func NewMembership(now time.Time, self Member) *Membership {
 	return &Membership{
-		absentSince: make(map[fleet.InstanceID]time.Time),
-		heard:       make(map[Member]*contact),
-		replaced:    make(map[Member]time.Time),
-		reports:     make(map[Member]map[Member]time.Time),
-		self:        self,
-		started:     now,
+		absentFromListSince: make(map[fleet.InstanceID]time.Time),
+		contacts:            make(map[Member]*contact),
+		replaced:            make(map[Member]time.Time),
+		lastHeardBy:         make(map[Member]map[Member]time.Time),
+		self:                self,
+		startedAt:           now,
 	}
 }
 
-// Listed returns the newest list of the platform.
+// Listed returns the newest list of instances from the platform.
 func (m *Membership) Listed() []Listed {
 	return m.listed
 }
 
-// Live returns the runs that answered lately and do not leave, in the order of
-// their ids. This instance is included.
+// Live returns the runs that were heard from recently and are not leaving, sorted
+// by ID. It includes this instance unless that is leaving.
 func (m *Membership) Live(now time.Time) []Member {
 	var live []Member
 	if !m.leaving {
 		live = append(live, m.self)
 	}
-	for member := range m.heard {
+	for member := range m.contacts {
 		if m.State(now, member) == StateLive {
 			live = append(live, member)
 		}
@@ -105,11 +120,13 @@
 	return live
 }
 
-// Proposal returns the members of the next generation, or false when the
-// roster may stay as it is or this instance should leave the proposal to a
-// member of lower rank. NoGrantOutstanding tells whether no voucher is outstanding.
-func (m *Membership) Proposal(now time.Time, roster Roster, reset bool, mayEvict func(Member) bool) ([]Member, bool) {
-	if m.proposer(now, roster) != m.self {
+// Proposal returns the members of the next generation. It returns false if no
+// change is needed, or if another instance is the one to propose it. ForceNew
+// asks for a new generation even if the members stay the same. Only members for
+// which noGrantOutstanding returns true may be evicted; see
+// Validity.NoGrantOutstanding.
+func (m *Membership) Proposal(now time.Time, roster Roster, forceNew bool, noGrantOutstanding func(Member) bool) ([]Member, bool) {
+	if m.electProposer(now, roster) != m.self {
 		return nil, false
 	}
 	var next []Member
@@ -117,7 +134,7 @@
 		switch m.State(now, member) {
 		case StateLeaving, StateReplaced:
 		case StateDead:
-			if !mayEvict(member) || !m.majorityRemains(now, roster) || !m.silentToMajority(now, member, roster) {
+			if !noGrantOutstanding(member) || !m.majorityRemains(now, roster) || !m.isSilentToMajority(now, member, roster) {
 				next = append(next, member)
 			}
 		default:
@@ -130,87 +147,90 @@
 		}
 	}
 	slices.SortFunc(next, compareMembers)
-	if len(next) == 0 || !reset && slices.Equal(next, roster.Members) {
+	if len(next) == 0 || !forceNew && slices.Equal(next, roster.Members) {
 		return nil, false
 	}
 	return next, true
 }
 
-// RecordMessage records a message of a member, with what it says about others.
-// Answered means that it is the answer to a call of this instance. Only an
-// answer shows that another run of the same instance ended, because a request
-// of the earlier run may arrive late.
-func (m *Membership) RecordMessage(now time.Time, member Member, answered, leaving bool, liveness []Liveness) {
+// RecordMessage records a message from a member, with its reports about others.
+// IsResponse means that the message is the response to a call of this instance.
+// Only a response proves that another known run of the same instance has ended,
+// because a request of an earlier run may arrive late.
+func (m *Membership) RecordMessage(now time.Time, member Member, isResponse, leaving bool, liveness []Liveness) {
 	if m.isReplaced(member) || member.Instance == m.self.Instance {
 		return
 	}
-	for other := range m.heard {
+	for other := range m.contacts {
 		if other.Instance != member.Instance || other == member {
 			continue
 		}
-		if !answered {
+		if !isResponse {
 			return
 		}
-		m.replace(now, other)
+		m.markReplaced(now, other)
 	}
-	m.heard[member] = &contact{at: now, leaving: leaving}
-	m.reports[member] = make(map[Member]time.Time, len(liveness))
+	m.contacts[member] = &contact{at: now, leaving: leaving}
+	m.lastHeardBy[member] = make(map[Member]time.Time, len(liveness))
 	for _, l := range liveness {
-		m.reports[member][l.Member] = now.Add(-l.Silence)
+		m.lastHeardBy[member][l.Member] = now.Add(-l.Silence)
 	}
 }
 
-// RecordList records the platform's list.
+// RecordList records a new list of instances from the platform.
 func (m *Membership) RecordList(now time.Time, listed []Listed) {
 	m.listed = listed
-	for member := range m.heard {
+	for member := range m.contacts {
 		id := member.Instance
 		if slices.ContainsFunc(listed, func(l Listed) bool { return l.Instance == id }) {
-			delete(m.absentSince, id)
-		} else if m.absentSince[id].IsZero() {
-			m.absentSince[id] = now
+			delete(m.absentFromListSince, id)
+		} else if m.absentFromListSince[id].IsZero() {
+			m.absentFromListSince[id] = now
 		}
 	}
 }
 
-// RecordRoster records that the member belongs to the roster. When its
-// instance is already known with another epoch that answers, the member is
-// an earlier run.
+// RecordRoster adds the members of the roster and of the previous one to the
+// known members, and deletes old records of other runs. A member is an earlier
+// run, and so replaced, if it is another run of this instance, or if another run
+// of its instance was heard from recently.
+// Members that were not heard from yet start as silent.
 func (m *Membership) RecordRoster(now time.Time, roster Roster) {
 	known := slices.Concat(roster.Members, roster.Previous)
 	for member, at := range m.replaced {
-		// Messages of an earlier run do not arrive this late.
-		if now.Sub(at) >= forgetAfter && !slices.Contains(known, member) {
+		// Messages of an earlier run cannot arrive after this delay.
+		if now.Sub(at) >= forgetDelay && !slices.Contains(known, member) {
 			delete(m.replaced, member)
 		}
 	}
-	for member, c := range m.heard {
-		if now.Sub(c.at) >= forgetAfter && !slices.Contains(known, member) {
-			delete(m.heard, member)
-			delete(m.reports, member)
+	for member, c := range m.contacts {
+		if now.Sub(c.at) >= forgetDelay && !slices.Contains(known, member) {
+			delete(m.contacts, member)
+			delete(m.lastHeardBy, member)
 		}
 	}
 	for _, member := range known {
-		if member == m.self || m.isReplaced(member) || m.heard[member] != nil {
+		if member == m.self || m.isReplaced(member) || m.contacts[member] != nil {
 			continue
 		}
 		if member.Instance == m.self.Instance {
-			m.replace(now, member)
+			m.markReplaced(now, member)
 			continue
 		}
-		for other := range m.heard {
-			if other.Instance == member.Instance && now.Sub(m.heard[other].at) < silentAfter {
-				m.replace(now, member)
+		for other := range m.contacts {
+			if other.Instance == member.Instance && now.Sub(m.contacts[other].at) < silenceThreshold {
+				m.markReplaced(now, member)
 			}
 		}
 		if !m.isReplaced(member) {
-			m.heard[member] = &contact{at: now.Add(-silentAfter)}
+			m.contacts[member] = &contact{at: now.Add(-silenceThreshold)}
 		}
 	}
 }
 
-// Replaced returns the runs that ended for certain, because their instance
-// runs with another epoch. The platform runs one process for each instance id.
+// Replaced returns the runs that have certainly ended, because another run of the
+// same instance was found. The platform runs only one process for each instance
+// ID.
 func (m *Membership) Replaced() []Member {
 	ended := make([]Member, 0, len(m.replaced))
 	for member := range m.replaced {
@@ -219,13 +239,13 @@
 	return ended
 }
 
-// Report returns what this instance tells its peers about the others. Only
-// silence is evidence, so members that answer are left out. This keeps the
-// periodic message small.
+// SilenceReport returns the members that are silent, to be reported to the peers.
+// Other members are left out to keep the periodic message small; their reports
+// would have no effect on an eviction.
 func (m *Membership) SilenceReport(now time.Time) []Liveness {
 	var report []Liveness
-	for member, c := range m.heard {
-		if silence := now.Sub(c.at); silence >= silentAfter {
+	for member, c := range m.contacts {
+		if silence := now.Sub(c.at); silence >= silenceThreshold {
 			report = append(report, Liveness{Member: member, Silence: silence})
 		}
 	}
@@ -233,12 +253,12 @@
 	return report
 }
 
-// SetLeaving records that this instance drains for a planned stop.
+// SetLeaving records that this instance is draining for a planned stop.
 func (m *Membership) SetLeaving() {
 	m.leaving = true
 }
 
-// State returns what is known of a run.
+// State returns the state of a run.
 func (m *Membership) State(now time.Time, member Member) State {
 	if member == m.self && m.leaving {
 		return StateLeaving
@@ -249,16 +269,16 @@
 	if m.isReplaced(member) {
 		return StateReplaced
 	}
-	c := m.heard[member]
+	c := m.contacts[member]
 	if c == nil {
-		c = &contact{at: m.started}
+		c = &contact{at: m.startedAt}
 	}
 	silence := now.Sub(c.at)
-	absent := m.absentSince[member.Instance]
+	absent := m.absentFromListSince[member.Instance]
 	switch {
-	case silence >= evictAfter || silence >= silentAfter && !absent.IsZero() && now.Sub(absent) >= evictAfter:
+	case silence >= evictionDelay || silence >= silenceThreshold && !absent.IsZero() && now.Sub(absent) >= evictionDelay:
 		return StateDead
-	case silence >= silentAfter:
+	case silence >= silenceThreshold:
 		return StateSilent
 	case c.leaving:
 		return StateLeaving
@@ -266,13 +286,14 @@
 	return StateLive
 }
 
+// isReplaced reports whether the run has certainly ended; see Replaced.
 func (m *Membership) isReplaced(member Member) bool {
 	_, replaced := m.replaced[member]
 	return replaced
 }
 
-// majorityRemains reports whether a majority of the roster answers or ended
-// for certain. Without it the joint phase of the next generation would not end.
+// majorityRemains reports whether a majority of the roster is live, leaving or
+// replaced. Without it the joint phase of the next generation would not end.
 func (m *Membership) majorityRemains(now time.Time, roster Roster) bool {
 	count := 0
 	for _, member := range roster.Members {
@@ -284,9 +305,10 @@
 	return isMajority(count, roster.Members)
 }
 
-// proposer returns the live run with the lowest rank. Members of the roster
-// come first, because others may not know yet whether its joint phase is over.
-func (m *Membership) proposer(now time.Time, roster Roster) Member {
+// electProposer returns the live run that is to propose the next generation: the
+// one with the lowest rank. Members of the roster are preferred, because others
+// may not know yet whether its joint phase is over.
+func (m *Membership) electProposer(now time.Time, roster Roster) Member {
 	live := m.Live(now)
 	members := slices.DeleteFunc(slices.Clone(live), func(l Member) bool { return !roster.Has(l) })
 	if len(members) == 0 {
@@ -296,7 +318,7 @@
 		return Member{}
 	}
 	return slices.MinFunc(members, func(a, b Member) int {
-		if ra, rb := rank(roster, a), rank(roster, b); ra != rb {
+		if ra, rb := proposerRank(roster, a), proposerRank(roster, b); ra != rb {
 			if ra < rb {
 				return -1
 			}
@@ -306,26 +328,28 @@
 	})
 }
 
-// replace marks a run as ended and drops what it said.
-func (m *Membership) replace(now time.Time, member Member) {
+// markReplaced records that a run has ended and deletes its other records.
+func (m *Membership) markReplaced(now time.Time, member Member) {
 	m.replaced[member] = now
-	delete(m.heard, member)
-	delete(m.reports, member)
+	delete(m.contacts, member)
+	delete(m.lastHeardBy, member)
 }
 
-// silentToMajority reports whether a majority of the roster has heard nothing
-// of the member for the eviction time, or the platform dropped it for that long.
-func (m *Membership) silentToMajority(now time.Time, member Member, roster Roster) bool {
-	if absent := m.absentSince[member.Instance]; !absent.IsZero() && now.Sub(absent) >= evictAfter {
+// isSilentToMajority reports whether a majority of the roster has not heard from
+// the member for the eviction delay, or whether it has been absent from the
+// platform's list for that long.
+func (m *Membership) isSilentToMajority(now time.Time, member Member, roster Roster) bool {
+	if absent := m.absentFromListSince[member.Instance]; !absent.IsZero() && now.Sub(absent) >= evictionDelay {
 		return true
 	}
-	// This instance and the member itself: the member cannot contradict.
+	// The count starts with this instance, which has not heard from the member
+	// either. The member's own reports do not count.
 	silent := 1
-	for reporter, heard := range m.reports {
+	for reporter, heard := range m.lastHeardBy {
 		if reporter == member || !roster.Has(reporter) || m.State(now, reporter) != StateLive {
 			continue
 		}
-		if at, known := heard[member]; known && now.Sub(at) >= evictAfter {
+		if at, known := heard[member]; known && now.Sub(at) >= evictionDelay {
 			silent++
 		}
 	}
@@ -333,7 +357,9 @@
 	return isMajority(silent, others)
 }
 
-func rank(roster Roster, member Member) uint64 {
+// proposerRank returns a pseudo-random rank of the member's instance, which
+// differs between generations.
+func proposerRank(roster Roster, member Member) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.WriteString(string(member.Instance))
--- a/peer/membership_test.go
+++ b/peer/membership_test.go
@@ -18,9 +18,9 @@
 
 func always(peer.Member) bool { return true }
 
-// TestEpochsAreToldApart guards against a new run at an old address that is
-// taken for the earlier one, and against a late request of the earlier run
-// that pushes out the new one.
+// TestEpochsAreToldApart guards against a new run that is mistaken for the earlier
+// run at the same address, and against a late message of the earlier run that
+// replaces the new one.
 func TestEpochsAreToldApart(t *testing.T) {
 	m := peer.NewMembership(start, selfA)
 	fresh := peer.Member{Epoch: 20, Instance: "b"}
@@ -39,8 +39,9 @@
 	}
 }
 
-// TestEviction guards against the eviction of a member that others still hear,
-// that holds a voucher, or that is silent only for a short time.
+// TestEviction guards against the eviction of a member that others still hear
+// from, that may hold a lease granted by this instance, or that has been silent
+// only for a short time.
 func TestEviction(t *testing.T) {
 	roster := peer.Roster{Generation: 4, Members: []peer.Member{selfA, peerB, peerC}}
 	for _, tc := range []struct {
@@ -59,7 +60,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			proposals := 0
-			// Either A or B has the lower rank, so both are asked.
+			// The proposer is either A or B, depending on their ranks, so both
+			// are tried.
 			for _, pair := range [][2]peer.Member{{selfA, peerB}, {peerB, selfA}} {
 				m := peer.NewMembership(start, pair[0])
 				m.RecordMessage(start, peerC, true, false, nil)
@@ -85,8 +87,8 @@
 	}
 }
 
-// TestMinorityProposesNoEviction guards against a generation whose joint
-// phase can never end, because no majority of the one before remains.
+// TestMinorityProposesNoEviction guards against a generation whose joint phase
+// can never end, because no majority of the previous generation remains.
 func TestMinorityProposesNoEviction(t *testing.T) {
 	m := peer.NewMembership(start, selfA)
 	m.RecordMessage(start, peerB, true, false, nil)
@@ -94,12 +96,12 @@
 	m.RecordList(start, []peer.Listed{{Instance: "a"}})
 	roster := peer.Roster{Generation: 4, Members: []peer.Member{selfA, peerB, peerC}}
 	if next, ok := m.Proposal(start.Add(time.Minute), roster, false, always); ok {
-		t.Errorf("proposed %v without a majority", next)
+		t.Errorf("proposed %v although no majority of the roster answers", next)
 	}
 }
 
-// TestLeavingMemberIsRemoved guards against a planned stop that waits for the
-// eviction time.
+// TestLeavingMemberIsRemoved guards against a planned stop that takes as long as
+// the eviction delay.
 func TestLeavingMemberIsRemoved(t *testing.T) {
 	m := peer.NewMembership(start, selfA)
 	m.RecordMessage(start, peerB, true, true, nil)
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -53,7 +53,7 @@
 func fromLiveness(messages []*v1.Liveness) []Liveness {
 	out := make([]Liveness, 0, len(messages))
 	for _, l := range messages {
-		out = append(out, Liveness{Member: fromSender(l.GetMember()), Silence: milliseconds(l.GetSilenceMs())})
+		out = append(out, Liveness{Member: fromSender(l.GetMember()), Silence: durationFromMillis(l.GetSilenceMs())})
 	}
 	return out
 }
@@ -69,7 +69,7 @@
 func fromSuspicions(by Member, messages []*v1.Suspicion) []Suspicion {
 	out := make([]Suspicion, 0, len(messages))
 	for _, s := range messages {
-		out = append(out, Suspicion{Reporter: by, Group: fleet.GroupID(s.GetGroup()), Silence: milliseconds(s.GetSilenceMs()), Term: fleet.Term(s.GetTerm())})
+		out = append(out, Suspicion{Reporter: by, Group: fleet.GroupID(s.GetGroup()), Silence: durationFromMillis(s.GetSilenceMs()), Term: fleet.Term(s.GetTerm())})
 	}
 	return out
 }
@@ -109,8 +109,8 @@
 	return out
 }
 
-// milliseconds turns a duration of a message into a duration, cut to an hour,
-// so that no value of a message can overflow.
-func milliseconds(ms uint64) time.Duration {
+// durationFromMillis converts a number of milliseconds from a message. The result
+// is at most one hour, so that no value in a message causes an overflow.
+func durationFromMillis(ms uint64) time.Duration {
 	return time.Duration(min(ms, 3_600_000)) * time.Millisecond
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,5 +1,12 @@
-// Package peer speaks to the other instances: membership, validity leases,
-// the spread of sheets and rosters, and the shares of limits.
+// Package peer implements the protocol between the instances: membership,
+// validity leases, the distribution of sheets and rosters, and the division of
+// rate limits and connection budgets into one share for each instance.
+//
+// A sheet is one published version of the configuration. A roster is one agreed
+// set of instances, and its generation counts up with each change. The store is
+// the platform's table service; its head row names the newest roster generation
+// and sheet version. An instance may serve only while it is valid, that is,
+// while it can prove that it holds the newest versions; see Validity.
 package peer
 
 import (
@@ -12,8 +19,9 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// clockDrift is the largest assumed difference in rate between two clocks.
-const clockDrift = 0.1
+// maxClockDrift is the largest assumed deviation of a clock's rate from real
+// time, as a fraction.
+const maxClockDrift = 0.1
 
 // Error is the error type of this package.
 type Error struct {
@@ -23,18 +31,19 @@
 	Op string
 }
 
-// ErrorKind tells the errors of this package apart.
+// ErrorKind classifies the errors of this package.
 type ErrorKind string
 
 // Kinds of errors.
 const (
-	// KindConfig is an unusable setting or file.
+	// KindConfig is an invalid setting, file or sheet.
 	KindConfig ErrorKind = "Config"
-	// KindNotHeld is a version or generation that this instance does not hold.
+	// KindNotHeld is a roster generation or sheet version whose row is missing.
 	KindNotHeld ErrorKind = "NotHeld"
-	// KindStore is a failed call to the table.
+	// KindStore is a failed call to the store, or a row that cannot be decoded.
 	KindStore ErrorKind = "Store"
-	// KindUnavailable is a peer that did not answer as the expected member.
+	// KindUnavailable is a peer that could not be reached or verified, or a wait
+	// that ended before its condition was met.
 	KindUnavailable ErrorKind = "Unavailable"
 )
 
@@ -43,12 +52,12 @@
 	return fmt.Sprintf("peer: %s: %s: %v", e.Op, e.Kind, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *Error) Unwrap() error {
 	return e.Err
 }
 
-// Member is one run of an instance.
+// Member identifies one run of an instance: each start has a new epoch.
 type Member struct {
 	Epoch    fleet.Epoch
 	Instance fleet.InstanceID
@@ -62,23 +71,25 @@
 	return cmp.Compare(a.Epoch, b.Epoch)
 }
 
-// Roster is one agreed set of members. Their shares add up to the limits.
+// Roster is one agreed set of members, among which the limits are divided. It
+// is stored as JSON.
 type Roster struct {
 	Generation fleet.RosterGeneration
 	Members    []Member
-	// Previous is the members of the generation before.
+	// Previous holds the members of the previous generation.
 	Previous []Member
-	// Proposal is unique for each attempt to write a roster. It tells whether
-	// a write with a lost answer took effect.
+	// Proposal is a unique ID of the attempt to write the roster. It identifies
+	// the attempt that took effect when the response to a write is lost.
 	Proposal string
 }
 
-// Has reports whether the member belongs to the roster.
+// Has reports whether the member is part of the roster.
 func (r Roster) Has(member Member) bool {
 	return slices.Contains(r.Members, member)
 }
 
-// PermitLimit is the budget of connections to one backend server.
+// PermitLimit is the number of connections that all instances together may
+// open to one backend server.
 type PermitLimit struct {
 	Budget int
 	Server fleet.ServerID
@@ -91,13 +102,14 @@
 	Version fleet.SheetVersion
 }
 
-// Versions is what an instance holds or what the head row names.
+// Versions is the pair of roster generation and sheet version that an instance
+// holds or that the head row names.
 type Versions struct {
 	Generation fleet.RosterGeneration
 	Sheet      fleet.SheetVersion
 }
 
-// Covers reports whether v is as new as other in both parts.
+// Covers reports whether both parts of v are at least as new as those of other.
 func (v Versions) Covers(other Versions) bool {
 	return v.Generation >= other.Generation && v.Sheet >= other.Sheet
 }
@@ -107,8 +119,9 @@
 	return 2*count > len(members)
 }
 
-// expiryWait is the time by the own clock after which a lease that began by
-// another clock has ended for certain, whichever of the two is fast.
+// expiryWait returns the time to wait by the local clock until a lease that
+// another instance measures by its own clock has expired, whichever of the two
+// clocks runs fast.
 func expiryWait(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease) * (1 + clockDrift) / (1 - clockDrift))
+	return time.Duration(float64(lease) * (1 + maxClockDrift) / (1 - maxClockDrift))
 }
--- a/peer/permits.go
+++ b/peer/permits.go
@@ -6,18 +6,20 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// PermitUse is how a pool uses the permits for a backend server.
+// PermitUse describes how the connection pool uses its permits for a backend
+// server. One permit allows one connection.
 type PermitUse struct {
 	// InEffect is the number of permits that the pool may still use: its limit,
-	// or the connections over a lowered limit that are still open.
+	// or the number of open connections while that exceeds a lowered limit.
 	InEffect int
-	// Waiting is the number of requests that wait for a permit.
+	// Waiting is the number of requests that wait for a connection.
 	Waiting int
 }
 
-// ApplyPermits gives the permits held for each server to the pool and takes in
-// how the pool uses them. Apply runs under the lock of the controller, so that
-// no transfer can give away a permit that the pool is just being given.
+// ApplyPermits calls apply with the number of permits held for each server, to
+// set the limit of the pool, and records the pool's use of them. Apply runs with
+// the controller's lock held, so that no concurrent transfer can give away a
+// permit that the pool is about to use. It must not call the controller.
 func (c *Controller) ApplyPermits(apply func(server fleet.ServerID, permits int) PermitUse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -29,13 +31,14 @@
 	c.refresh()
 }
 
-// RequestShares asks the peers for what this instance lacks now.
+// RequestShares asks the peers for the shares that this instance lacks now. It
+// returns an error only if the context ended.
 func (c *Controller) RequestShares(ctx context.Context) error {
-	return c.moveShares(ctx)
+	return c.requestShares(ctx)
 }
 
-// releasePermits lets the pool give up permits that a peer wants, before the
-// ledger gives them away. The lock is held.
+// releasePermits makes the pool release permits that a peer wants, before the
+// ledger transfers them. The caller must hold c.mu.
 func (c *Controller) releasePermits(wanted []PermitAmount) {
 	if c.config.ReleasePermits == nil {
 		return
--- a/peer/report.go
+++ b/peer/report.go
@@ -2,19 +2,24 @@
 
 import "github.com/nutmegpier/nutmegpier/fleet"
 
-// Report is what an instance says of its shares to its peers.
+// Report describes the versions and shares of an instance to its peers. It is
+// sent as v1.Versions, from which the names GuestGifts, PriorGifts and
+// NeedsReset come.
 type Report struct {
-	// Full is the newest generation whose joint phase is over, or zero.
+	// FullPhase is the generation that the instance holds if its joint phase is
+	// over, or zero. See Ledger for the phases.
 	FullPhase fleet.RosterGeneration
-	// GuestGifts is true when the instance gave shares of the generation that
-	// it holds to an instance outside the roster.
+	// GuestGifts is true if the instance gave shares of the generation that it
+	// holds to an instance that is not part of the roster.
 	GuestGifts bool
-	Held       Versions
-	// Joint is the newest generation for which the instance holds the smaller share.
+	// Held is the pair of versions that the instance holds.
+	Held Versions
+	// JointPhase is the newest generation for which the instance holds no more
+	// than the smaller of its old and its new share.
 	JointPhase fleet.RosterGeneration
-	// NeedsReset is true when shares were lost that only a new generation
-	// brings back.
+	// NeedsReset is true if shares were lost, or given to an instance outside the
+	// roster. Only a new generation divides them among the members again.
 	NeedsReset bool
-	// PriorGifts is GuestGifts for the generation before.
+	// PriorGifts is GuestGifts for the previous generation.
 	PriorGifts bool
 }
--- a/peer/rows.go
+++ b/peer/rows.go
@@ -8,10 +8,10 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// HeadKey is the key of the head row.
+// HeadKey is the key of the head row, which names the newest roster and sheet.
 const HeadKey = "head"
 
-// Head is the content of the head row in JSON.
+// Head is the content of the head row, stored as JSON.
 type Head struct {
 	RosterGeneration fleet.RosterGeneration
 	SheetVersion     fleet.SheetVersion
--- a/peer/scale.go
+++ b/peer/scale.go
@@ -8,25 +8,26 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// scaleRate takes over the share of a workspace into a new sheet version. An
-// instance that skipped a version cannot know whether the others started
-// again from equal shares, so it keeps no more than an equal share.
+// scaleRate converts the share of a workspace to the limit of a new sheet
+// version. Consecutive is false if this instance skipped a version. It cannot
+// know then whether the others have started again from full shares, so it keeps
+// no more than its full share.
 func (l *Ledger) scaleRate(now time.Time, old Limits, limit workspace.Limit, consecutive bool) {
 	i := slices.IndexFunc(old.Rates, func(r workspace.Limit) bool { return r.Workspace == limit.Workspace })
 	if i < 0 {
-		l.added[string(limit.Workspace)] = consecutive
+		l.addedLimits[string(limit.Workspace)] = consecutive
 		l.limiter.Set(now, limit.Workspace, workspace.Share{})
 		return
 	}
 	share := l.limiter.Share(now, limit.Workspace).Scale(old.Rates[i], limit)
 	if !consecutive {
-		share = workspace.Minimum(share, l.fullRate(limit))
+		share = workspace.Minimum(share, l.fullRateShare(limit))
 	}
 	l.limiter.Set(now, limit.Workspace, share)
 }
 
-// scalePermits takes over the permits into a new sheet version. Rounding down
-// loses permits, which the next generation brings back.
+// scalePermits converts the permits to the budgets of a new sheet version.
+// Rounding down loses permits until the next generation divides the budget anew.
 func (l *Ledger) scalePermits(old Limits, consecutive bool) {
 	budgets := make(map[fleet.ServerID]int, len(old.Permits))
 	for _, limit := range old.Permits {
@@ -39,25 +40,28 @@
 		budget, known := budgets[limit.Server]
 		switch {
 		case !known:
-			l.added[string(limit.Server)] = consecutive
+			l.addedLimits[string(limit.Server)] = consecutive
 			state.held = 0
 		case budget != limit.Budget:
-			l.needsReset = true
-			// Members that are still in the joint phase take an equal share of
-			// the new budget. The rounding of scaled and equal shares differs,
-			// so more than an equal share could be one permit too many.
-			state.held = min(state.held*limit.Budget/max(budget, 1), l.fullPermits(limit))
+			l.lostShares = true
+			// Members that are still in the joint phase will take their full
+			// share of the new budget. Scaled shares are rounded differently
+			// from full shares, so keeping more than the full share could
+			// exceed the budget by one permit.
+			state.held = min(state.held*limit.Budget/max(budget, 1), l.fullPermitShare(limit))
 		}
 		if !consecutive {
-			state.held = min(state.held, l.fullPermits(limit))
+			state.held = min(state.held, l.fullPermitShare(limit))
 		}
 	}
 	l.permits = kept
 }
 
-// scalePending scales the shares that may come back from transfers.
-func (l *Ledger) scalePending(old Limits) {
-	for _, transfer := range l.pending {
+// scalePendingTransfers converts the shares in pending transfers to a new sheet
+// version, because they may be reclaimed. Permits of a changed budget are
+// dropped.
+func (l *Ledger) scalePendingTransfers(old Limits) {
+	for _, transfer := range l.pendingTransfers {
 		transfer.Permits = slices.DeleteFunc(transfer.Permits, func(amount PermitAmount) bool {
 			return !slices.ContainsFunc(l.limits.Permits, func(p PermitLimit) bool {
 				return p.Server == amount.Server && slices.Contains(old.Permits, p)
--- a/peer/status.go
+++ b/peer/status.go
@@ -7,25 +7,26 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// PeerStatus is what is known of another instance.
+// PeerStatus is the status of another instance, as seen by this instance.
 type PeerStatus struct {
-	// Address is "ip:port" of the peer listener, or empty when it is not listed.
+	// Address is "ip:port" of the peer listener, or empty if the platform does not
+	// list the instance.
 	Address string
-	// Held is what the instance said last that it holds.
+	// Held are the versions that the instance last reported to hold.
 	Held   Versions
 	Member Member
-	// Silence is the time since the instance was last heard.
+	// Silence is the time since the last message from the instance.
 	Silence time.Duration
 	State   State
 }
 
-// Peers returns the other instances that were heard, in the order of their ids.
-// Runs that were replaced are left out.
+// Peers returns the status of the other known instances, sorted by ID, without
+// runs that were replaced.
 func (c *Controller) Peers(now time.Time) []PeerStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var peers []PeerStatus
-	for member, contact := range c.membership.heard {
+	for member, contact := range c.membership.contacts {
 		state := c.membership.State(now, member)
 		if member == c.self || state == StateReplaced {
 			continue
@@ -42,9 +43,9 @@
 	return peers
 }
 
-// recordHeld notes what a member said that it holds.
+// recordHeld records the versions that a member reported to hold.
 func (m *Membership) recordHeld(member Member, held Versions) {
-	if contact := m.heard[member]; contact != nil {
+	if contact := m.contacts[member]; contact != nil {
 		contact.held = held
 	}
 }
--- a/peer/store.go
+++ b/peer/store.go
@@ -9,8 +9,9 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// pollList reads the platform's list. An outage leaves the last list in force.
-func (c *Controller) pollList(ctx context.Context) {
+// pollInstanceList reads the platform's list of instances. If that fails, the
+// last list stays in use.
+func (c *Controller) pollInstanceList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	listed, err := c.config.Instances.List(ctx)
@@ -23,49 +24,50 @@
 	c.membership.RecordList(now, listed)
 }
 
-// pollStore reads the head row, fetches what it names, and proposes the next
-// roster if that is this instance's turn.
+// pollStore reads the head row, fetches the rows that it names, and proposes the
+// next roster if a change is needed and this instance is the one to propose it.
 func (c *Controller) pollStore(ctx context.Context) {
 	sent := c.config.Clock.Now()
-	rows, err := c.read(ctx, HeadKey)
+	rows, err := c.readRow(ctx, HeadKey)
 	if ctx.Err() == nil {
-		c.noteStore(err)
+		c.reportStoreState(err)
 	}
 	if err != nil {
 		return
 	}
 	if len(rows) == 0 {
-		c.createFirst(ctx, Head{}, 0)
+		c.createFirstRoster(ctx, Head{}, 0)
 		return
 	}
 	head, err := decode[Head](rows[0])
 	if err != nil {
-		c.event(EventUnusable, err.Error())
+		c.emitEvent(EventUnusable, err.Error())
 		return
 	}
 	if head.RosterGeneration == 0 {
-		c.createFirst(ctx, head, rows[0].Revision)
+		c.createFirstRoster(ctx, head, rows[0].Revision)
 		return
 	}
-	if err := c.fetchRows(ctx, head); err != nil {
-		c.event(EventUnusable, err.Error())
+	if err := c.fetchNewerRows(ctx, head); err != nil {
+		c.emitEvent(EventUnusable, err.Error())
 	}
 	c.mu.Lock()
 	c.head, c.headRevision = head, rows[0].Revision
 	c.validity.RecordStoreRead(sent, Versions{Generation: head.RosterGeneration, Sheet: head.SheetVersion})
 	c.refresh()
 	c.mu.Unlock()
-	c.propose(ctx, head, rows[0].Revision)
+	c.proposeRoster(ctx, head, rows[0].Revision)
 }
 
-// createFirst writes generation 1 into a table without a roster. A sheet can be
-// there already. A lost answer or a lost race shows in the next read.
-func (c *Controller) createFirst(ctx context.Context, head Head, revision uint64) {
+// createFirstRoster writes roster generation 1 to a store without a roster, which
+// may already contain a sheet. If the response is lost or another instance was
+// faster, the next poll finds the roster that was written.
+func (c *Controller) createFirstRoster(ctx context.Context, head Head, revision uint64) {
 	c.mu.Lock()
 	held := c.ledger.Versions()
 	c.mu.Unlock()
 	if held.Generation > 0 {
-		c.event(EventUnusable, "the head row is missing from the table although a roster is held")
+		c.emitEvent(EventUnusable, "the head row in the store is missing or names no roster, but this instance holds a roster; no first roster is written")
 		return
 	}
 	roster := Roster{Generation: 1, Members: []Member{c.self}, Proposal: c.proposalID()}
@@ -73,16 +75,17 @@
 	c.writeRoster(ctx, head, revision, roster)
 }
 
-// fetchRows reads the rows that the head names and that are not held.
-func (c *Controller) fetchRows(ctx context.Context, head Head) error {
+// fetchNewerRows reads and adopts the roster and the sheet that the head row
+// names, as far as they are newer than those that this instance holds.
+func (c *Controller) fetchNewerRows(ctx context.Context, head Head) error {
 	held := c.Versions()
 	if head.RosterGeneration > held.Generation {
-		rows, err := c.read(ctx, RosterKey(head.RosterGeneration))
+		rows, err := c.readRow(ctx, RosterKey(head.RosterGeneration))
 		if err != nil {
 			return err
 		}
 		if len(rows) == 0 {
-			return &Error{Err: errors.New(RosterKey(head.RosterGeneration)), Kind: KindNotHeld, Op: "fetch roster"}
+			return &Error{Err: errors.New(RosterKey(head.RosterGeneration)), Kind: KindNotHeld, Op: "fetch the roster row named by the head row"}
 		}
 		roster, err := decode[Roster](rows[0])
 		if err != nil {
@@ -91,53 +94,57 @@
 		c.adoptRoster(roster)
 	}
 	if head.SheetVersion > held.Sheet {
-		rows, err := c.read(ctx, SheetKey(head.SheetVersion))
+		rows, err := c.readRow(ctx, SheetKey(head.SheetVersion))
 		if err != nil {
 			return err
 		}
 		if len(rows) == 0 {
-			return &Error{Err: errors.New(SheetKey(head.SheetVersion)), Kind: KindNotHeld, Op: "fetch sheet"}
+			return &Error{Err: errors.New(SheetKey(head.SheetVersion)), Kind: KindNotHeld, Op: "fetch the sheet row named by the head row"}
 		}
 		return c.OfferSheet(head.SheetVersion, rows[0].Value)
 	}
 	return nil
 }
 
+// proposalID returns a unique value for Roster.Proposal.
 func (c *Controller) proposalID() string {
 	return string(c.self.Instance) + "-" + strconv.FormatUint(c.config.Random(), 16)
 }
 
-// propose writes the next roster. Only an instance whose joint phase is over
-// may propose, so that no valid instance is more than one generation behind.
-func (c *Controller) propose(ctx context.Context, head Head, revision uint64) {
+// proposeRoster writes the next roster if one is needed. Only a valid instance
+// whose joint phase is over may do so, so that no valid instance is more than one
+// generation behind.
+func (c *Controller) proposeRoster(ctx context.Context, head Head, revision uint64) {
 	now := c.config.Clock.Now()
 	c.mu.Lock()
 	roster := c.ledger.Roster()
 	ready := c.ledger.InFullPhase() && roster.Generation == head.RosterGeneration && c.validity.Valid(now)
-	reset := c.ledger.NeedsNewGeneration() || slices.ContainsFunc(roster.Members, func(m Member) bool { return c.resets[m] })
-	next, wanted := c.membership.Proposal(now, roster, reset, func(m Member) bool { return c.validity.NoGrantOutstanding(now, m) })
+	forceNew := c.ledger.NeedsNewGeneration() || slices.ContainsFunc(roster.Members, func(m Member) bool { return c.needsNewGeneration[m] })
+	members, changed := c.membership.Proposal(now, roster, forceNew, func(m Member) bool { return c.validity.NoGrantOutstanding(now, m) })
 	c.mu.Unlock()
-	if !ready || !wanted {
+	if !ready || !changed {
 		return
 	}
-	following := Roster{Generation: roster.Generation + 1, Members: next, Previous: roster.Members, Proposal: c.proposalID()}
-	c.writeRoster(ctx, Head{RosterGeneration: following.Generation, SheetVersion: head.SheetVersion}, revision, following)
+	nextRoster := Roster{Generation: roster.Generation + 1, Members: members, Previous: roster.Members, Proposal: c.proposalID()}
+	c.writeRoster(ctx, Head{RosterGeneration: nextRoster.Generation, SheetVersion: head.SheetVersion}, revision, nextRoster)
 }
 
-// read reads one row with the time limit of a call.
-func (c *Controller) read(ctx context.Context, key string) ([]Row, error) {
+// readRow reads one row with the call timeout. The result is empty if the row
+// does not exist.
+func (c *Controller) readRow(ctx context.Context, key string) ([]Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rows, err := c.config.Table.Read(ctx, []string{key})
 	if err != nil {
-		return nil, &Error{Err: err, Kind: KindStore, Op: "read " + key}
+		return nil, &Error{Err: err, Kind: KindStore, Op: "read row " + key}
 	}
 	return rows, nil
 }
 
-// writeRoster writes a roster and the head row that names it, if the head row
-// still has the revision. It adopts the roster only after a certain answer;
-// after a lost one the next read of the head row tells.
+// writeRoster writes a roster and the head row that names it, provided that the
+// head row still has the revision. It adopts the roster if the write is known to
+// have taken effect. After an error the next read of the head row shows the
+// outcome.
 func (c *Controller) writeRoster(ctx context.Context, head Head, revision uint64, roster Roster) {
 	headValue, err := encode(head)
 	if err != nil {
@@ -158,10 +165,11 @@
 	c.adoptRoster(roster)
 }
 
-// generationOf returns the generation to fetch; zero stands for the newest.
-func generationOf(asked uint64, newest fleet.RosterGeneration) fleet.RosterGeneration {
-	if asked == 0 {
+// requestedGeneration returns the generation that a request asks for, where zero
+// means the newest.
+func requestedGeneration(requested uint64, newest fleet.RosterGeneration) fleet.RosterGeneration {
+	if requested == 0 {
 		return newest
 	}
-	return fleet.RosterGeneration(asked)
+	return fleet.RosterGeneration(requested)
 }
--- a/peer/tls.go
+++ b/peer/tls.go
@@ -10,61 +10,62 @@
 	"time"
 )
 
-// tlsCheckPeriod is the time for which loaded files are used without a look
-// at their content.
+// tlsCheckPeriod is the time for which loaded files are used before they are read
+// again.
 const tlsCheckPeriod = 5 * time.Second
 
-// TLSFiles names the PEM files of mutual TLS between instances.
+// TLSFiles holds the paths of the PEM files for TLS.
 type TLSFiles struct {
-	// CA holds the certificates that sign the peers. It is empty where the
-	// other side shows no certificate.
+	// CA is the file with the CA certificates that the peers' certificates are
+	// verified against. It is empty if the other side presents no certificate.
 	CA string
-	// Certificate holds the own certificate chain.
+	// Certificate is the file with the certificate chain of this instance.
 	Certificate string
-	// Key holds the private key of the certificate.
+	// Key is the file with the private key of the certificate.
 	Key string
 }
 
-// TLS gives out TLS configurations for the peer protocol. New connections use
-// the newest content of the files; open connections go on. It is safe for
-// concurrent use.
+// TLS provides TLS configurations whose certificates are reloaded when the files
+// change. New connections use the reloaded content; open connections are not
+// affected. It is safe for concurrent use.
 type TLS struct {
 	clock Clock
 	files TLSFiles
 
-	mu      sync.Mutex
-	checked time.Time
-	loaded  tlsContent
-	pair    *tls.Certificate
-	roots   *x509.CertPool
+	mu          sync.Mutex
+	lastChecked time.Time
+	loaded      tlsContent
+	keyPair     *tls.Certificate
+	roots       *x509.CertPool
 }
 
+// tlsContent is the content of the files.
 type tlsContent struct {
 	ca          []byte
 	certificate []byte
 	key         []byte
 }
 
-// LoadTLS reads the files for the first time.
+// LoadTLS loads the files.
 func LoadTLS(files TLSFiles, clock Clock) (*TLS, error) {
 	t := &TLS{clock: clock, files: files}
 	if err := t.load(); err != nil {
 		return nil, err
 	}
-	t.checked = clock.Now()
+	t.lastChecked = clock.Now()
 	return t, nil
 }
 
 // Client returns the configuration for calls to other instances. Instances are
-// called by IP number, so the certificate must carry it.
+// addressed by IP address, so the certificate must contain that address.
 func (t *TLS) Client() *tls.Config {
 	return &tls.Config{
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			pair, _ := t.current()
 			return pair, nil
 		},
-		// The roots may change, so the check happens in VerifyConnection with
-		// the newest ones instead of a fixed pool.
+		// The CA certificates may be reloaded, so VerifyConnection verifies the
+		// chain against the current ones instead of a fixed pool.
 		InsecureSkipVerify: true,
 		MinVersion:         tls.VersionTLS13,
 		VerifyConnection: func(state tls.ConnectionState) error {
@@ -73,8 +74,8 @@
 	}
 }
 
-// ServerWithoutClientAuth returns the configuration of a listener whose clients show no
-// certificate.
+// ServerWithoutClientAuth returns the configuration of a listener whose clients
+// present no certificate.
 func (t *TLS) ServerWithoutClientAuth() *tls.Config {
 	return &tls.Config{
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -85,7 +86,8 @@
 	}
 }
 
-// Server returns the configuration of the peer listener.
+// Server returns the configuration of the peer listener, which requires client
+// certificates.
 func (t *TLS) Server() *tls.Config {
 	return &tls.Config{
 		ClientAuth: tls.RequireAnyClientCert,
@@ -101,41 +103,43 @@
 	}
 }
 
-// current returns the newest content. Files that cannot be used, for example
-// half-written ones, leave the last good content in force.
+// current returns the newest valid content. If the files are invalid, for example
+// because they are only partly written, the last valid content stays in use.
 func (t *TLS) current() (*tls.Certificate, *x509.CertPool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now := t.clock.Now(); now.Sub(t.checked) >= tlsCheckPeriod && t.load() == nil {
-		t.checked = now
+	if now := t.clock.Now(); now.Sub(t.lastChecked) >= tlsCheckPeriod && t.load() == nil {
+		t.lastChecked = now
 	}
-	return t.pair, t.roots
+	return t.keyPair, t.roots
 }
 
+// load reads the files and replaces the loaded content if it changed.
 func (t *TLS) load() error {
 	content, err := readTLS(t.files)
 	if err != nil {
 		return &Error{Err: err, Kind: KindConfig, Op: "load TLS files"}
 	}
-	if t.pair != nil && content.equal(t.loaded) {
+	if t.keyPair != nil && content.equals(t.loaded) {
 		return nil
 	}
-	pair, err := tls.X509KeyPair(content.certificate, content.key)
+	keyPair, err := tls.X509KeyPair(content.certificate, content.key)
 	if err != nil {
 		return &Error{Err: err, Kind: KindConfig, Op: "load TLS files"}
 	}
 	roots := x509.NewCertPool()
 	if t.files.CA != "" && !roots.AppendCertsFromPEM(content.ca) {
-		return &Error{Err: errors.New("the CA file holds no certificate"), Kind: KindConfig, Op: "load TLS files"}
+		return &Error{Err: errors.New("the CA file contains no PEM certificate"), Kind: KindConfig, Op: "load TLS files"}
 	}
-	t.loaded, t.pair, t.roots = content, &pair, roots
+	t.loaded, t.keyPair, t.roots = content, &keyPair, roots
 	return nil
 }
 
-// verify checks the chain of the other side against the newest roots.
+// verify verifies the certificate chain of the other side against the current CA
+// certificates. The name is not checked if it is empty.
 func (t *TLS) verify(state tls.ConnectionState, name string, usage x509.ExtKeyUsage) error {
 	if len(state.PeerCertificates) == 0 {
-		return &Error{Err: errors.New("the peer sent no certificate"), Kind: KindUnavailable, Op: "verify"}
+		return &Error{Err: errors.New("the peer presented no TLS certificate"), Kind: KindUnavailable, Op: "verify"}
 	}
 	_, roots := t.current()
 	options := x509.VerifyOptions{
@@ -154,7 +158,7 @@
 	return nil
 }
 
-func (c tlsContent) equal(other tlsContent) bool {
+func (c tlsContent) equals(other tlsContent) bool {
 	return bytes.Equal(c.ca, other.ca) && bytes.Equal(c.certificate, other.certificate) && bytes.Equal(c.key, other.key)
 }
 
--- a/peer/tls_test.go
+++ b/peer/tls_test.go
@@ -39,6 +39,8 @@
 	return ca
 }
 
+// sign creates a key and a certificate that is signed by the parent, or
+// self-signed without a parent.
 func (ca *testCA) sign(template *x509.Certificate, parent *testCA) (*ecdsa.PrivateKey, []byte) {
 	ca.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -56,7 +58,8 @@
 	return key, der
 }
 
-// write writes the files of an instance into a directory.
+// write issues a certificate for an instance and writes its TLS files into a
+// directory.
 func (ca *testCA) write(dir string, serial int64) peer.TLSFiles {
 	ca.t.Helper()
 	key, der := ca.sign(&x509.Certificate{
@@ -81,12 +84,13 @@
 	return files
 }
 
-// stepClock is a clock that a test moves.
-type stepClock struct{ now time.Time }
+// manualClock is a clock that the test sets.
+type manualClock struct{ now time.Time }
 
-func (c *stepClock) Now() time.Time { return c.now }
+func (c *manualClock) Now() time.Time { return c.now }
 
-// dial connects a client to a server over loopback and returns both ends.
+// dial connects a client to a server over the loopback interface and returns both
+// ends of the connection.
 func dial(t *testing.T, server, client *peer.TLS) (*tls.Conn, *tls.Conn, error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,30 +99,31 @@
 	}
 	defer listener.Close()
 	accepted := make(chan *tls.Conn, 1)
-	failed := make(chan error, 1)
+	handshakeErr := make(chan error, 1)
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
-			failed <- err
+			handshakeErr <- err
 			return
 		}
 		secured := tls.Server(conn, server.Server())
-		failed <- secured.Handshake()
+		handshakeErr <- secured.Handshake()
 		accepted <- secured
 	}()
 	config := client.Client()
 	config.ServerName = "127.0.0.1"
 	conn, err := tls.Dial("tcp", listener.Addr().String(), config)
-	if serverErr := <-failed; serverErr != nil {
+	if serverErr := <-handshakeErr; serverErr != nil {
 		err = serverErr
 	}
 	return conn, <-accepted, err
 }
 
-// TestTLSReload guards against files that are read only once, connections that
-// break at a reload, and peers of another authority that are let in.
+// TestTLSReload guards against changed files that are not reloaded, a reload that
+// breaks open connections, and peers of another certificate authority that can
+// connect.
 func TestTLSReload(t *testing.T) {
-	clock := &stepClock{now: time.Now()}
+	clock := &manualClock{now: time.Now()}
 	first, second := newTestCA(t), newTestCA(t)
 	serverDir, clientDir := t.TempDir(), t.TempDir()
 	server, err := peer.LoadTLS(first.write(serverDir, 2), clock)
@@ -136,7 +141,7 @@
 	second.write(serverDir, 4)
 	clock.now = clock.now.Add(6 * time.Second)
 	if _, _, err := dial(t, server, client); err == nil {
-		t.Error("peers of different authorities connected")
+		t.Error("peers with certificates of different authorities connected")
 	}
 	second.write(clientDir, 5)
 	clock.now = clock.now.Add(6 * time.Second)
@@ -151,6 +156,6 @@
 		t.Error(err)
 	}
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
-		t.Errorf("the connection from before the reload broke: %v", err)
+		t.Errorf("the connection opened before the reload is broken: %v", err)
 	}
 }
--- a/peer/traffic_test.go
+++ b/peer/traffic_test.go
@@ -15,21 +15,23 @@
 )
 
 const (
-	// restBytes bounds an Exchange while all members answer.
-	restBytes = 80
-	// silentBytes bounds what each silent member adds.
-	silentBytes = 40
+	// maxExchangeBytes is the largest allowed size of an Exchange message while
+	// no member is silent.
+	maxExchangeBytes = 80
+	// maxBytesPerSilentMember is the largest allowed increase for each silent
+	// member.
+	maxBytesPerSilentMember = 40
 )
 
 func sender(i int) *v1.Sender {
 	return &v1.Sender{Epoch: ^uint64(0) - uint64(i), Instance: fmt.Sprintf("instance-%02d", i)}
 }
 
-// traffic returns a controller that knows some members, 8 workspaces and 9
-// servers, and the periodic message of one of them.
-func traffic(tb testing.TB, members int, silent bool) (*peer.Controller, *v1.ExchangeRequest) {
+// newLoadedController returns a controller that knows a number of members, 8
+// workspaces and 9 servers, and the Exchange request of one of the members.
+func newLoadedController(tb testing.TB, members int, silent bool) (*peer.Controller, *v1.ExchangeRequest) {
 	tb.Helper()
-	clock := &stepClock{now: time.Now()}
+	clock := &manualClock{now: time.Now()}
 	limits := peer.Limits{Version: 1}
 	for i := range 8 {
 		limits.Rates = append(limits.Rates, workspace.Limit{Burst: 100, Rate: 100, Workspace: fleet.WorkspaceID(fmt.Sprintf("workspace-%d", i))})
@@ -64,34 +66,36 @@
 	return c, request
 }
 
-// TestExchangeSize guards against an Exchange that grows faster than the roster.
+// TestExchangeSize guards against Exchange messages that grow faster than the
+// number of members.
 func TestExchangeSize(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		for _, members := range []int{3, 9, 30} {
-			c, request := traffic(t, members, silent)
-			answer, err := c.Exchange(t.Context(), connect.NewRequest(request))
+			c, request := newLoadedController(t, members, silent)
+			response, err := c.Exchange(t.Context(), connect.NewRequest(request))
 			if err != nil {
 				t.Fatal(err)
 			}
-			asked, answered := proto.Size(request), proto.Size(answer.Msg)
-			t.Logf("%d members, silent %v: request %d B, answer %d B, %d B/s sent and received by each instance",
-				members, silent, asked, answered, 2*2*(members-1)*(asked+answered))
-			limit := restBytes
+			requestBytes, responseBytes := proto.Size(request), proto.Size(response.Msg)
+			t.Logf("%d members, silent %v: request %d B, response %d B, %d B/s sent and received by each instance",
+				members, silent, requestBytes, responseBytes, 2*2*(members-1)*(requestBytes+responseBytes))
+			limit := maxExchangeBytes
 			if silent {
-				limit += silentBytes * members
+				limit += maxBytesPerSilentMember * members
 			}
-			if asked > limit || answered > limit {
-				t.Errorf("%d members: request %d B, answer %d B, limit %d B", members, asked, answered, limit)
+			if requestBytes > limit || responseBytes > limit {
+				t.Errorf("%d members: request %d B, response %d B, limit %d B", members, requestBytes, responseBytes, limit)
 			}
 		}
 	}
 }
 
-// BenchmarkExchange measures the handling of one Exchange without encoding.
+// BenchmarkExchange measures the handling of one Exchange call, without encoding
+// the messages.
 func BenchmarkExchange(b *testing.B) {
 	for _, members := range []int{3, 9, 30} {
 		b.Run(fmt.Sprintf("Members%d", members), func(b *testing.B) {
-			c, request := traffic(b, members, false)
+			c, request := newLoadedController(b, members, false)
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := c.Exchange(b.Context(), connect.NewRequest(request)); err != nil {
@@ -102,9 +106,9 @@
 	}
 }
 
-// BenchmarkAdmit measures one admission on the request path.
+// BenchmarkAdmit measures the admission of one request.
 func BenchmarkAdmit(b *testing.B) {
-	c, _ := traffic(b, 9, false)
+	c, _ := newLoadedController(b, 9, false)
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/peer/transfer.go
+++ b/peer/transfer.go
@@ -5,23 +5,25 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// RateAmount is a part of one workspace's limit.
+// RateAmount is a part of the rate limit of one workspace.
 type RateAmount struct {
 	Share     workspace.Share
 	Workspace fleet.WorkspaceID
 }
 
-// PermitAmount is a number of connection permits for a backend server.
+// PermitAmount is a number of connection permits for one backend server.
 type PermitAmount struct {
 	Permits int
 	Server  fleet.ServerID
 }
 
-// TransferID numbers the transfers of one giver's epoch from one.
+// TransferID is the number of a transfer. Each donor counts from one in each
+// epoch.
 type TransferID uint64
 
-// Transfer is shares on the way from one member to another. The giver no
-// longer holds them. The receiver takes them at most once.
+// Transfer is a set of shares in transit from a donor to a receiver. The donor
+// no longer holds them, and the receiver adds them at most once. Versions are
+// those of the donor when the transfer started.
 type Transfer struct {
 	Donor    Member
 	ID       TransferID
@@ -31,12 +33,13 @@
 	Versions Versions
 }
 
-// IsEmpty reports whether nothing was given.
+// IsEmpty reports whether the donor gave nothing.
 func (t Transfer) IsEmpty() bool {
 	return t.ID == 0
 }
 
-// Wanted is a request for shares of the receiver of the request.
+// Wanted is a request for shares. Receiver is the instance that would receive
+// them. The donor may give less.
 type Wanted struct {
 	Permits  []PermitAmount
 	Rates    []RateAmount
@@ -44,13 +47,13 @@
 	Versions Versions
 }
 
-// IsEmpty reports whether nothing is wanted.
+// IsEmpty reports whether nothing is requested.
 func (w Wanted) IsEmpty() bool {
 	return len(w.Permits) == 0 && len(w.Rates) == 0
 }
 
-// transferKey is unique over all transfers.
+// transferKey identifies a transfer among those of all donors.
 type transferKey struct {
-	giver Member
+	donor Member
 	id    TransferID
 }
