--- a/caller/request.go
+++ b/caller/request.go
@@ -191,7 +191,7 @@
 	}
 	ctx, done := s.waitContext()
 	defer done()
-	timer := time.NewTimer(core.RepeatWait(attempt, s.server.config.Jitter()))
+	timer := time.NewTimer(core.RetryDelay(attempt, s.server.config.Jitter()))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -317,12 +317,12 @@
 		return false
 	}
 	return core.Attempt{
-		Deadline:   r.arrivedAt.Add(s.requestTimeout(r)),
-		Delivered:  s.writer.Flushed(),
-		Lost:       result.err != nil,
-		Refused:    result.rerun,
-		Repeatable: r.idempotent || !s.lease.Primary(),
-	}.MayRepeat(config.Now())
+		Deadline:           r.arrivedAt.Add(s.requestTimeout(r)),
+		PartiallyDelivered: s.writer.Flushed(),
+		Lost:               result.err != nil,
+		Refused:            result.rerun,
+		Idempotent:         r.idempotent || !s.lease.Primary(),
+	}.MayRetry(config.Now())
 }
 
 // finish settles a request that the server answered to the end.
@@ -443,7 +443,7 @@
 // failLost answers a request whose backend connection failed.
 func (s *session) failLost(r *request, result answer) error {
 	inTransaction := s.tx != backend.TxIdle
-	outcome := core.Loss{Commits: r.commits, InTransaction: inTransaction, Writes: s.lease.Primary()}.Outcome()
+	outcome := core.LostRequest{Commits: r.commits, InTransaction: inTransaction, Writes: s.lease.Primary()}.Outcome()
 	pinned := s.pinned
 	s.begin = ""
 	s.release(false)
--- a/cmd/gatewayd/servecmd.go
+++ b/cmd/gatewayd/servecmd.go
@@ -130,7 +130,7 @@
 
 	running, relays := newGateway(settings, epoch, gateway.NewLog(recorder, settings.Log.LinesPerSecond), opened.peers)
 	callers := platform.NewCallers(session.Config{
-		Clock: bootTime, Gate: running, Jitter: rand.Float64, Observer: running, Pause: time.Sleep, Router: running,
+		Clock: bootTime, AccessController: running, Jitter: rand.Float64, Observer: running, Sleep: time.Sleep, Router: running,
 	}, running.TransactionIdle)
 	recorder.Record(event.InstanceStarted, event.Fields{Text: runtime.Version()})
 	controllers, stopControllers := context.WithCancel(context.Background())
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -28,7 +28,7 @@
 		return
 	}
 	members := append(g.members.participants(g.storeClock.StoreTime(now)),
-		workspace.Member{Age: g.ownAge(now), Instance: g.members.self, Phase: g.members.participation.Own()})
+		workspace.Member{Age: g.ownAge(now), Instance: g.members.self, Phase: g.members.participation.EffectivePhase()})
 	var limits []workspace.Limit
 	for id, limit := range g.routing.Limits() {
 		limits = append(limits, workspace.Limit{Burst: limit.Burst, Rate: limit.Rate, Workspace: id})
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -150,7 +150,7 @@
 	live := g.members.liveInstances()
 	var servers []pool.Server
 	for id, server := range g.servers {
-		limit, idle := pool.Share(g.databaseConnections(server.Group), part, g.config.Instance, live, id)
+		limit, idle := pool.ConnectionLimits(g.databaseConnections(server.Group), part, g.config.Instance, live, id)
 		servers = append(servers, pool.Server{Address: server.Address, Group: server.Group, ID: id, Idle: idle, Limit: limit})
 	}
 	g.mu.Unlock()
--- a/gateway/gate.go
+++ b/gateway/gate.go
@@ -11,9 +11,9 @@
 )
 
 var (
-	_ session.Gate     = &Gateway{}
-	_ session.Observer = &Gateway{}
-	_ session.Router   = &Gateway{}
+	_ session.AccessController = &Gateway{}
+	_ session.Observer         = &Gateway{}
+	_ session.Router           = &Gateway{}
 )
 
 // notLeasedRetry is when a caller may come back that was refused because the
@@ -28,7 +28,7 @@
 	if workspace == "" {
 		return nil
 	}
-	g.limits.Count(now, workspace)
+	g.limits.RecordDemand(now, workspace)
 	decision := g.limits.Admit(now, workspace)
 	reason := "other requests took what its pools gave"
 	for tries := 0; !decision.Admitted && tries < admitTries; tries++ {
@@ -47,7 +47,7 @@
 }
 
 // Check returns what a caller may do now.
-func (g *Gateway) Check(now time.Time, credentials session.Credentials) (session.Access, *session.Error) {
+func (g *Gateway) Authorize(now time.Time, credentials session.Credentials) (session.Access, *session.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.routing == nil {
@@ -72,8 +72,8 @@
 }
 
 // Observe counts and logs how one statement ended.
-func (g *Gateway) Observe(now time.Time, ended session.Ended) {
-	route := ended.Need.Route
+func (g *Gateway) Observe(now time.Time, ended session.Completion) {
+	route := ended.Requirements.Route
 	observeRequest(route.Database, ended.Latency, ended.Err)
 	number := event.RequestFailed
 	if ended.Err == nil {
@@ -87,7 +87,7 @@
 		Request:   string(ended.Statement.ID),
 		Server:    ended.Server,
 		Text:      endText(ended) + g.inputs(now, route.Group),
-		Workspace: ended.Need.Workspace,
+		Workspace: ended.Requirements.Workspace,
 	})
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -147,7 +147,7 @@
 // who writes it.
 type Gateway struct {
 	config Config
-	limits *workspace.Division
+	limits *workspace.DistributedLimiter
 	pool   *pool.Pool
 
 	// routing is written by the sheet's follower.
@@ -196,7 +196,7 @@
 	// lagUntil keeps reads from a replica that lacked a position.
 	lagBackoff time.Duration
 	lagUntil   time.Time
-	latency    pool.Latency
+	latency    pool.LatencyEstimator
 	// missingSince is when the server's entry was dropped, or zero.
 	missingSince time.Time
 }
@@ -217,7 +217,7 @@
 		groups:         map[fleet.GroupID]*groupState{},
 		health:         map[fleet.ServerID]*serverHealth{},
 		joined:         make(chan struct{}),
-		limits:         workspace.NewDivision(config.Instance),
+		limits:         workspace.NewDistributedLimiter(config.Instance),
 		members:        newMemberView(config.Instance, config.Epoch),
 		lookNow:        make(chan struct{}, 1),
 		news:           make(chan struct{}, 1),
--- a/gateway/health.go
+++ b/gateway/health.go
@@ -100,7 +100,7 @@
 		number := event.ServerReachable
 		if unreachable {
 			number = event.ServerUnreachable
-			g.pool.Drop(server.ID)
+			g.pool.CloseIdle(server.ID)
 		}
 		g.config.Log.Record(number, event.Fields{Database: server.Group, Server: server.ID})
 		g.wake()
--- a/gateway/lease.go
+++ b/gateway/lease.go
@@ -19,13 +19,13 @@
 	gateway    *Gateway
 	generation primacy.Generation
 	group      fleet.GroupID
-	held       *pool.Held
+	held       *pool.PooledConn
 	primary    bool
 	server     fleet.ServerID
 }
 
 // After is the position that reads must ask for.
-func (l *lease) After() fleet.Position {
+func (l *lease) MinPosition() fleet.Position {
 	return l.after
 }
 
@@ -68,7 +68,7 @@
 	reply, failure := l.held.Run(deadline, commands)
 	now := g.config.Clock()
 	if failure != nil && (failure.Kind == session.KindUnknown || failure.Kind == session.KindTimeout) {
-		l.held.Break()
+		l.held.MarkBroken()
 		g.reportFailure(l.server)
 	}
 	g.mu.Lock()
@@ -79,7 +79,7 @@
 	}
 	switch {
 	case failure == nil:
-		server.latency.Note(now, now.Sub(l.began))
+		server.latency.Record(now, now.Sub(l.began))
 		if !l.primary {
 			server.lagBackoff = 0
 		}
@@ -101,7 +101,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if server := g.servers[l.server]; server != nil {
-		server.latency.Note(now, now.Sub(l.began))
+		server.latency.Record(now, now.Sub(l.began))
 	}
 }
 
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -281,10 +281,10 @@
 	if !g.counts(now) {
 		// Others may have taken over what this instance, or its earlier run,
 		// held.
-		g.members.participation.Lapse()
+		g.members.participation.Reset()
 		g.members.readAt = time.Time{}
 	}
-	phase, changed := g.members.participation.Next()
+	phase, changed := g.members.participation.NextPhase()
 	row := g.ownRow(now, phase)
 	write := g.ownWrite(row)
 	g.mu.Unlock()
@@ -302,7 +302,7 @@
 		return false, false
 	}
 	g.members.ownRev = result.Revision
-	g.members.participation.Written(phase)
+	g.members.participation.PhaseWritten(phase)
 	if !slices.Equal(row.Left, g.members.told.Left) || !slices.Equal(row.Unreachable, g.members.told.Unreachable) {
 		go g.tellLeader()
 	}
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -69,7 +69,7 @@
 }
 
 // endText says how a statement ended.
-func endText(ended session.Ended) string {
+func endText(ended session.Completion) string {
 	outcome := "served"
 	if ended.Err != nil {
 		outcome = fmt.Sprintf("%s: %v", ended.Err.Kind, ended.Err.Err)
@@ -79,8 +79,8 @@
 	if ended.Err != nil && ended.Err.RetryAfter > 0 {
 		fmt.Fprintf(&text, ", retry after %d ms", ended.Err.RetryAfter.Milliseconds())
 	}
-	if !ended.Need.Own.IsZero() {
-		text.WriteString(", own position " + ended.Need.Own.String())
+	if !ended.Requirements.LastWrite.IsZero() {
+		text.WriteString(", own position " + ended.Requirements.LastWrite.String())
 	}
 	return text.String()
 }
--- a/gateway/participation.go
+++ b/gateway/participation.go
@@ -13,9 +13,9 @@
 func (g *Gateway) participate(now time.Time) (changed, starting bool) {
 	g.mu.Lock()
 	members := g.members.participants(g.storeClock.StoreTime(now))
-	g.members.participation.Look(g.ownAge(now), members)
-	_, changed = g.members.participation.Next()
-	starting = g.members.participation.MustLook()
+	g.members.participation.ObserveMembers(g.ownAge(now), members)
+	_, changed = g.members.participation.NextPhase()
+	starting = g.members.participation.NeedsFreshRead()
 	g.mu.Unlock()
 	g.divideLimits(now)
 	return changed, starting
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -89,7 +89,7 @@
 		}
 	}
 	if take := question.Take; take != nil {
-		answer.Taken, answer.RetryAfter = g.limits.Give(g.config.Clock(), take.Workspace, take.Want)
+		answer.Taken, answer.RetryAfter = g.limits.TakeFromPool(g.config.Clock(), take.Workspace, take.Want)
 	}
 	return answer
 }
@@ -112,11 +112,11 @@
 // is something to admit now, and otherwise when a caller may come back and why
 // there is not.
 func (g *Gateway) borrow(now time.Time, id fleet.WorkspaceID) (taken bool, retryAfter time.Duration, reason string) {
-	owners := g.limits.Owners(now, id)
+	owners := g.limits.PoolOwners(now, id)
 	want := math.Max(1, g.limits.Demand(now, id)*lendSpan.Seconds())
 	retryAfter, reason = notLeasedRetry, "its limits are not known to be in force"
 	for i, owner := range owners {
-		if wait := owner.Until.Sub(now); wait > 0 {
+		if wait := owner.SkipUntil.Sub(now); wait > 0 {
 			retryAfter, reason = nearer(i, retryAfter, wait), "its pools were empty or silent a moment ago"
 			continue
 		}
--- a/gateway/promoter.go
+++ b/gateway/promoter.go
@@ -308,7 +308,7 @@
 	}
 	if err != nil {
 		if !conn.Alive() {
-			conn.Break()
+			conn.MarkBroken()
 		}
 		return
 	}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -83,7 +83,7 @@
 func (g *Gateway) relay(now time.Time) (peer relayPeer, found bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.config.Relays == nil || g.members.participation.MustLook() {
+	if g.config.Relays == nil || g.members.participation.NeedsFreshRead() {
 		return relayPeer{}, false
 	}
 	first := g.members.relayOf(g.config.Settings.DataCentre)
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -24,7 +24,7 @@
 )
 
 // Acquire returns a connection that serves the need.
-func (g *Gateway) Acquire(need session.Need) (session.Lease, *session.Error) {
+func (g *Gateway) Acquire(need session.Requirements) (session.Lease, *session.Error) {
 	if need.Write || need.Route.Consistency == sheet.ConsistencyPrimary {
 		return g.acquirePrimary(need)
 	}
@@ -39,7 +39,7 @@
 }
 
 // acquirePrimary waits for a primary that may be used.
-func (g *Gateway) acquirePrimary(need session.Need) (session.Lease, *session.Error) {
+func (g *Gateway) acquirePrimary(need session.Requirements) (session.Lease, *session.Error) {
 	for {
 		now := g.config.Clock()
 		g.mu.Lock()
@@ -60,7 +60,7 @@
 
 // usePrimary starts a use of the primary. Without result, the caller waits for
 // a change. The caller holds the lock.
-func (g *Gateway) usePrimary(now time.Time, need session.Need) (*lease, <-chan struct{}, *session.Error) {
+func (g *Gateway) usePrimary(now time.Time, need session.Requirements) (*lease, <-chan struct{}, *session.Error) {
 	state := g.group(need.Route.Group)
 	record := state.watch.Record()
 	if record.Phase == primacy.PhaseServing && g.isUnreachable(record.Primary) {
@@ -93,13 +93,13 @@
 // chooseReplica returns the server for a read that may miss recent commits,
 // and the position that it must hold. Primary is true if only the primary can
 // serve it.
-func (g *Gateway) chooseReplica(need session.Need) (server fleet.ServerID, after fleet.Position, primary, found bool) {
+func (g *Gateway) chooseReplica(need session.Requirements) (server fleet.ServerID, after fleet.Position, primary, found bool) {
 	now := g.config.Clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	state := g.group(need.Route.Group)
 	record := state.watch.Record()
-	after, sampled := state.samples.RequiredPosition(need.Since.Add(-need.Route.MaxAge.Duration()), need.Own)
+	after, sampled := state.samples.RequiredPosition(need.StartedAt.Add(-need.Route.MaxAge.Duration()), need.LastWrite)
 	if !sampled {
 		return "", after, true, !need.Avoid[record.Primary]
 	}
@@ -126,10 +126,10 @@
 }
 
 // lease opens or takes a connection for a lease.
-func (g *Gateway) lease(need session.Need, l *lease) (session.Lease, *session.Error) {
+func (g *Gateway) lease(need session.Requirements, l *lease) (session.Lease, *session.Error) {
 	l.began = g.config.Clock()
 	held, failure := g.pool.Acquire(l.server, pool.Request{
-		Deadline: need.Deadline.Add(-answerReserve), Priority: need.Route.Priority, Values: need.Values, Workspace: need.Workspace,
+		Deadline: need.Deadline.Add(-answerReserve), Priority: need.Route.Priority, Variables: need.Variables, Workspace: need.Workspace,
 	})
 	if failure == nil {
 		l.held = held
--- a/peer/ledger.go
+++ b/peer/ledger.go
@@ -449,7 +449,7 @@
 			continue
 		}
 		share := l.limiter.Share(now, rate.Workspace)
-		if amount := demand.Wanted(now, share); demand.Starved() || amount.Level > 0 || amount.Rate > 0 {
+		if amount := demand.Shortfall(now, share); demand.LastRefused() || amount.Level > 0 || amount.Rate > 0 {
 			wanted.Rates = append(wanted.Rates, RateAmount{Share: amount, Workspace: rate.Workspace})
 		}
 	}
@@ -519,7 +519,7 @@
 	if demand == nil {
 		demand = workspace.NewDemand(now)
 	}
-	given, kept := demand.Spare(now, share, want.Share)
+	given, kept := demand.SplitForPeer(now, share, want.Share)
 	if given == (workspace.Share{}) {
 		return RateAmount{}, false
 	}
--- a/pool/latency.go
+++ b/pool/latency.go
@@ -20,15 +20,15 @@
 	latencyMemory = 3 * time.Second
 )
 
-// Latency estimates how long a server takes for a request. The zero value has
+// LatencyEstimator estimates how long a server takes for a request. The zero value has
 // seen no answer.
-type Latency struct {
+type LatencyEstimator struct {
 	at       time.Time
 	estimate time.Duration
 }
 
 // Estimate returns the estimate at a time.
-func (l *Latency) Estimate(now time.Time) time.Duration {
+func (l *LatencyEstimator) Estimate(now time.Time) time.Duration {
 	if l.at.IsZero() {
 		return firstLatency
 	}
@@ -37,7 +37,7 @@
 }
 
 // Note takes in how long an answer took.
-func (l *Latency) Note(now time.Time, latency time.Duration) {
+func (l *LatencyEstimator) Record(now time.Time, latency time.Duration) {
 	weight := 1.0
 	if !l.at.IsZero() {
 		weight = max(latencyWeight, 1-math.Exp(-now.Sub(l.at).Seconds()/latencySpan.Seconds()))
--- a/pool/latency_test.go
+++ b/pool/latency_test.go
@@ -7,11 +7,11 @@
 	"github.com/nutmegpier/nutmegpier/pool"
 )
 
-// TestLatency guards against an instance with few requests that goes on sending
+// TestLatencyEstimator guards against an instance with few requests that goes on sending
 // reads to an overloaded server for as long as the overload lasts (a replica
 // that serves alone while the other one lags), against a busy one that jumps at
 // a single slow answer, and against a server that is never tried again.
-func TestLatency(t *testing.T) {
+func TestLatencyEstimator(t *testing.T) {
 	const usual, slow = 20 * time.Millisecond, 400 * time.Millisecond
 	for _, test := range []struct {
 		name     string
@@ -27,15 +27,15 @@
 		{name: "no request for long", interval: 10 * time.Millisecond, slow: 40, idle: 15 * time.Second, above: usual, below: 35 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var l pool.Latency
+			var l pool.LatencyEstimator
 			now := time.Unix(1000, 0)
 			for range 100 {
 				now = now.Add(test.interval)
-				l.Note(now, usual)
+				l.Record(now, usual)
 			}
 			for range test.slow {
 				now = now.Add(test.interval)
-				l.Note(now, slow)
+				l.Record(now, slow)
 			}
 			if got := l.Estimate(now.Add(test.idle)); got < test.above || got > test.below {
 				t.Errorf("estimate %v, want %v to %v", got, test.above, test.below)
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -58,8 +58,8 @@
 	Dial(deadline time.Time, server Server, workspace fleet.WorkspaceID) (Conn, *session.RunError)
 }
 
-// Held is a connection in use.
-type Held struct {
+// PooledConn is a connection in use.
+type PooledConn struct {
 	Conn
 	State *session.ConnState
 
@@ -70,7 +70,7 @@
 }
 
 // Break keeps the connection from being used again.
-func (h *Held) Break() {
+func (h *PooledConn) MarkBroken() {
 	h.broken = true
 }
 
@@ -97,7 +97,7 @@
 	pause     time.Duration
 
 	grown   time.Time
-	idle    []*Held
+	idle    []*PooledConn
 	limit   int
 	open    int
 	server  Server
@@ -110,7 +110,7 @@
 	// again is when to ask anew although nothing was granted, or zero.
 	again time.Time
 	// granted gets a connection, or nil if the waiter may open one itself.
-	granted   chan *Held
+	granted   chan *PooledConn
 	priority  int
 	since     time.Time
 	workspace fleet.WorkspaceID
@@ -169,7 +169,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.servers[server]
-	return s != nil && slices.ContainsFunc(s.idle, func(h *Held) bool { return h.workspace == workspace })
+	return s != nil && slices.ContainsFunc(s.idle, func(h *PooledConn) bool { return h.workspace == workspace })
 }
 
 // Request asks for a connection.
@@ -180,13 +180,13 @@
 	Priority int
 	// Values are those of the session: a connection that holds them already
 	// is preferred.
-	Values    map[string]string
+	Variables map[string]string
 	Workspace fleet.WorkspaceID
 }
 
 // Acquire returns a connection of a workspace to a server. The error means
 // that nothing was sent.
-func (p *Pool) Acquire(server fleet.ServerID, request Request) (*Held, *session.RunError) {
+func (p *Pool) Acquire(server fleet.ServerID, request Request) (*PooledConn, *session.RunError) {
 	for {
 		now := p.clock()
 		if !now.Before(request.Deadline) {
@@ -224,7 +224,7 @@
 // AcquireAny returns a connection of any workspace, for queries that are not
 // a caller's. It goes before all waiting requests, so that a server whose
 // connections are all in use can still be asked for its status.
-func (p *Pool) AcquireAny(deadline time.Time, server fleet.ServerID) (*Held, *session.RunError) {
+func (p *Pool) AcquireAny(deadline time.Time, server fleet.ServerID) (*PooledConn, *session.RunError) {
 	busy := &session.RunError{Kind: session.KindBusy, Text: "no connection to the server is free"}
 	now := p.clock()
 	p.mu.Lock()
@@ -243,7 +243,7 @@
 	if s.open < s.limit || s.open == 0 {
 		s.open++
 	} else {
-		w = &waiter{any: true, granted: make(chan *Held, 1), priority: controlPriority, since: now}
+		w = &waiter{any: true, granted: make(chan *PooledConn, 1), priority: controlPriority, since: now}
 		s.enqueue(w)
 	}
 	p.mu.Unlock()
@@ -262,7 +262,7 @@
 
 // reserve takes an idle connection, or the right to open one (both results
 // nil), or a place in the queue.
-func (p *Pool) reserve(now time.Time, server fleet.ServerID, request Request) (*Held, *waiter, *session.RunError) {
+func (p *Pool) reserve(now time.Time, server fleet.ServerID, request Request) (*PooledConn, *waiter, *session.RunError) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.servers[server]
@@ -270,7 +270,7 @@
 		return nil, nil, &session.RunError{Kind: session.KindBusy, Text: "the server is not known"}
 	}
 	s.grow(now)
-	if held := s.takeIdle(request.Workspace, request.Values); held != nil {
+	if held := s.takeIdle(request.Workspace, request.Variables); held != nil {
 		return held, nil, nil
 	}
 	full := now.Before(s.fullUntil)
@@ -283,7 +283,7 @@
 		s.closeOldest()
 		return nil, nil, nil
 	}
-	w := &waiter{granted: make(chan *Held, 1), priority: request.Priority, since: now, workspace: request.Workspace}
+	w := &waiter{granted: make(chan *PooledConn, 1), priority: request.Priority, since: now, workspace: request.Workspace}
 	if full && s.open < s.limit {
 		w.again = s.fullUntil
 	}
@@ -293,7 +293,7 @@
 
 // wait waits for a connection, or for the right to open one (granted without
 // a connection).
-func (p *Pool) wait(now, deadline time.Time, server fleet.ServerID, w *waiter) (held *Held, granted bool) {
+func (p *Pool) wait(now, deadline time.Time, server fleet.ServerID, w *waiter) (held *PooledConn, granted bool) {
 	bound := deadline
 	if !w.again.IsZero() && w.again.Before(deadline) {
 		bound = w.again
@@ -323,7 +323,7 @@
 
 // open opens the connection that reserve or a release made room for. Again is
 // true if the server refuses more connections for now.
-func (p *Pool) open(deadline time.Time, server fleet.ServerID, workspace fleet.WorkspaceID) (held *Held, failure *session.RunError, again bool) {
+func (p *Pool) open(deadline time.Time, server fleet.ServerID, workspace fleet.WorkspaceID) (held *PooledConn, failure *session.RunError, again bool) {
 	p.mu.Lock()
 	s := p.servers[server]
 	var target Server
@@ -339,7 +339,7 @@
 		p.mu.Lock()
 		s.pause = 0
 		p.mu.Unlock()
-		return &Held{Conn: conn, State: session.NewConnState(), owner: s, workspace: workspace}, nil, false
+		return &PooledConn{Conn: conn, State: session.NewConnState(), owner: s, workspace: workspace}, nil, false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -356,7 +356,7 @@
 }
 
 // Release gives a connection back.
-func (p *Pool) Release(server fleet.ServerID, held *Held) {
+func (p *Pool) Release(server fleet.ServerID, held *PooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock()
@@ -403,7 +403,7 @@
 }
 
 // Drop closes the idle connections to a server.
-func (p *Pool) Drop(server fleet.ServerID) {
+func (p *Pool) CloseIdle(server fleet.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.servers[server]; s != nil {
@@ -455,13 +455,13 @@
 
 // takeIdle takes the connection of the workspace that was used last, and one
 // that holds the values before one that does not.
-func (s *serverState) takeIdle(workspace fleet.WorkspaceID, values map[string]string) *Held {
+func (s *serverState) takeIdle(workspace fleet.WorkspaceID, values map[string]string) *PooledConn {
 	chosen := -1
 	for i := len(s.idle) - 1; i >= 0; i-- {
 		if s.idle[i].workspace != workspace {
 			continue
 		}
-		if s.idle[i].State.Holds(values) {
+		if s.idle[i].State.HasVariables(values) {
 			chosen = i
 			break
 		}
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -56,7 +56,7 @@
 	return p
 }
 
-func acquire(t *testing.T, p *pool.Pool, workspace fleet.WorkspaceID) *pool.Held {
+func acquire(t *testing.T, p *pool.Pool, workspace fleet.WorkspaceID) *pool.PooledConn {
 	t.Helper()
 	held, failure := p.Acquire("s", pool.Request{Deadline: time.Now().Add(time.Minute), Workspace: workspace})
 	if failure != nil {
--- a/pool/share.go
+++ b/pool/share.go
@@ -16,12 +16,12 @@
 	connectionPart = 0.6
 )
 
-// Share returns how many connections to one server this instance may hold and
+// ConnectionLimits returns how many connections to one server this instance may hold and
 // how many of them idle, of the budget over all live instances. Part is its part
 // of all demand. Where the budget has less than two connections for each, one
 // that is not in use takes the place of another instance's; so the first
 // instances by rendezvous hashing keep idle ones, and the others none.
-func Share(budget int, part float64, self fleet.InstanceID, live []fleet.InstanceID, server fleet.ServerID) (limit, idle int) {
+func ConnectionLimits(budget int, part float64, self fleet.InstanceID, live []fleet.InstanceID, server fleet.ServerID) (limit, idle int) {
 	if budget <= 0 {
 		return minConnections, minConnections
 	}
--- a/pool/share_test.go
+++ b/pool/share_test.go
@@ -8,11 +8,11 @@
 	"github.com/nutmegpier/nutmegpier/pool"
 )
 
-// TestShare guards against instances that together keep more idle connections
+// TestConnectionLimits guards against instances that together keep more idle connections
 // than a server takes, or so many that nobody else can open one: with 68
 // instances and 47 connections, each that kept one shut others out, and half of
 // all requests were refused.
-func TestShare(t *testing.T) {
+func TestConnectionLimits(t *testing.T) {
 	for _, test := range []struct {
 		instances, budget int
 	}{
@@ -31,7 +31,7 @@
 				server := fleet.ServerID(fmt.Sprintf("i-%08x", s))
 				kept := 0
 				for _, self := range live {
-					limit, idle := pool.Share(test.budget, 1/float64(test.instances), self, live, server)
+					limit, idle := pool.ConnectionLimits(test.budget, 1/float64(test.instances), self, live, server)
 					if idle > limit || limit < 1 {
 						t.Fatalf("%d idle of %d connections", idle, limit)
 					}
@@ -47,10 +47,10 @@
 	}
 }
 
-// TestShareWithoutBudget guards against a database without a stated budget that
+// TestConnectionLimitsWithoutBudget guards against a database without a stated budget that
 // gets no connections.
-func TestShareWithoutBudget(t *testing.T) {
-	if limit, idle := pool.Share(0, 1, "a", []fleet.InstanceID{"a"}, "s"); limit < 1 || idle < 1 {
+func TestConnectionLimitsWithoutBudget(t *testing.T) {
+	if limit, idle := pool.ConnectionLimits(0, 1, "a", []fleet.InstanceID{"a"}, "s"); limit < 1 || idle < 1 {
 		t.Errorf("%d connections, %d idle", limit, idle)
 	}
 }
--- a/session/connstate.go
+++ b/session/connstate.go
@@ -23,7 +23,7 @@
 // Align returns the commands that give the connection exactly the values, and
 // the template if there is one. The state counts them as done: a connection
 // on which one fails must be closed.
-func (c *ConnState) Align(values map[string]string, template *Template) []Command {
+func (c *ConnState) Sync(values map[string]string, template *Template) []Command {
 	var commands []Command
 	for name := range c.values {
 		if _, kept := values[name]; !kept {
@@ -49,7 +49,7 @@
 }
 
 // Holds reports whether the connection has exactly these values.
-func (c *ConnState) Holds(values map[string]string) bool {
+func (c *ConnState) HasVariables(values map[string]string) bool {
 	return maps.Equal(c.values, values)
 }
 
@@ -57,7 +57,7 @@
 // callers collide with each other, so they are never used there.
 func (t Template) serverName() string {
 	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(t.Shape))
+	_, _ = sum.Write([]byte(t.Text))
 	mode := "r"
 	if t.Write {
 		mode = "w"
--- a/session/fakes_test.go
+++ b/session/fakes_test.go
@@ -15,7 +15,7 @@
 // when the session pauses.
 type world struct {
 	admitted int
-	ended    []session.Ended
+	ended    []session.Completion
 	now      time.Time
 	// onAdmit runs while an operation waits for its admission.
 	onAdmit   func()
@@ -36,8 +36,8 @@
 
 func (w *world) config() session.Config {
 	return session.Config{
-		Clock: func() time.Time { return w.now }, Gate: w, Jitter: func() float64 { return 0.5 }, Observer: w,
-		Pause: func(span time.Duration) { w.now = w.now.Add(span) }, Router: w,
+		Clock: func() time.Time { return w.now }, AccessController: w, Jitter: func() float64 { return 0.5 }, Observer: w,
+		Sleep: func(span time.Duration) { w.now = w.now.Add(span) }, Router: w,
 	}
 }
 
@@ -60,16 +60,16 @@
 	return nil
 }
 
-func (w *world) Check(time.Time, session.Credentials) (session.Access, *session.Error) {
+func (w *world) Authorize(time.Time, session.Credentials) (session.Access, *session.Error) {
 	if w.withdrawn {
 		return session.Access{}, &session.Error{Kind: session.KindUnauthorized}
 	}
 	return session.Access{Route: w.route, Workspace: "w"}, nil
 }
 
-func (w *world) Observe(_ time.Time, ended session.Ended) { w.ended = append(w.ended, ended) }
+func (w *world) Observe(_ time.Time, ended session.Completion) { w.ended = append(w.ended, ended) }
 
-func (w *world) Acquire(need session.Need) (session.Lease, *session.Error) {
+func (w *world) Acquire(need session.Requirements) (session.Lease, *session.Error) {
 	for _, s := range w.servers {
 		if !need.Avoid[s.id] {
 			return &lease{server: s, world: w}, nil
@@ -108,11 +108,11 @@
 	world  *world
 }
 
-func (l *lease) After() fleet.Position     { return fleet.Position{} }
-func (l *lease) Exclusive(time.Time) bool  { return !l.server.deposed }
-func (l *lease) Release()                  { l.world.released++ }
-func (l *lease) Server() fleet.ServerID    { return l.server.id }
-func (l *lease) State() *session.ConnState { return l.server.state }
+func (l *lease) MinPosition() fleet.Position { return fleet.Position{} }
+func (l *lease) Exclusive(time.Time) bool    { return !l.server.deposed }
+func (l *lease) Release()                    { l.world.released++ }
+func (l *lease) Server() fleet.ServerID      { return l.server.id }
+func (l *lease) State() *session.ConnState   { return l.server.state }
 func (s *server) ends(k session.StatementKind) bool {
 	return k == session.StatementCommit || k == session.StatementRollback
 }
--- a/session/retry.go
+++ b/session/retry.go
@@ -28,25 +28,25 @@
 type Attempt struct {
 	Deadline time.Time
 	// Delivered says that a part of the answer went to the caller.
-	Delivered bool
+	PartiallyDelivered bool
 	// Lost says that the connection ended or that the server failed.
 	Lost bool
 	// Refused says that the server proved that nothing ran.
 	Refused bool
 	// Repeatable says that running twice does no harm.
-	Repeatable bool
+	Idempotent bool
 }
 
-// MayRepeat reports whether another server can be asked.
-func (a Attempt) MayRepeat(now time.Time) bool {
-	if a.Delivered || now.After(a.Deadline) {
+// MayRetry reports whether another server can be asked.
+func (a Attempt) MayRetry(now time.Time) bool {
+	if a.PartiallyDelivered || now.After(a.Deadline) {
 		return false
 	}
-	return a.Refused || (a.Lost && a.Repeatable)
+	return a.Refused || (a.Lost && a.Idempotent)
 }
 
-// Loss is a request whose server was lost before it answered.
-type Loss struct {
+// LostRequest is a request whose server was lost before it answered.
+type LostRequest struct {
 	// Commits says that the request ends its transaction and keeps it.
 	Commits bool
 	// InTransaction says that a transaction was open.
@@ -57,16 +57,16 @@
 
 // Outcome returns what the caller may be told. A server rolls back what was
 // not committed.
-func (l Loss) Outcome() Outcome {
+func (l LostRequest) Outcome() Outcome {
 	if l.Writes && (l.Commits || !l.InTransaction) {
 		return OutcomeUnknown
 	}
 	return OutcomeNotRun
 }
 
-// RepeatWait returns the wait before a request is offered again, counted from
+// RetryDelay returns the wait before a request is offered again, counted from
 // zero. Jitter is in [0, 1).
-func RepeatWait(repeat int, jitter float64) time.Duration {
+func RetryDelay(repeat int, jitter float64) time.Duration {
 	if repeat == 0 {
 		return 0
 	}
--- a/session/retry_test.go
+++ b/session/retry_test.go
@@ -7,9 +7,9 @@
 	"github.com/nutmegpier/nutmegpier/session"
 )
 
-// TestMayRepeat guards against a request that runs twice although it may have
+// TestMayRetry guards against a request that runs twice although it may have
 // run, and against one that isn't offered again although it certainly did not.
-func TestMayRepeat(t *testing.T) {
+func TestMayRetry(t *testing.T) {
 	deadline := begin.Add(time.Second)
 	for _, test := range []struct {
 		name    string
@@ -19,8 +19,8 @@
 	}{
 		{name: "refused write", attempt: session.Attempt{Refused: true}, want: true},
 		{name: "lost write", attempt: session.Attempt{Lost: true}},
-		{name: "lost read", attempt: session.Attempt{Lost: true, Repeatable: true}, want: true},
-		{name: "answered in part", attempt: session.Attempt{Delivered: true, Lost: true, Repeatable: true}},
+		{name: "lost read", attempt: session.Attempt{Lost: true, Idempotent: true}, want: true},
+		{name: "answered in part", attempt: session.Attempt{PartiallyDelivered: true, Lost: true, Idempotent: true}},
 		{name: "too late", attempt: session.Attempt{Refused: true}, now: deadline.Add(time.Millisecond)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -28,24 +28,24 @@
 			if test.now.IsZero() {
 				test.now = begin
 			}
-			if got := test.attempt.MayRepeat(test.now); got != test.want {
+			if got := test.attempt.MayRetry(test.now); got != test.want {
 				t.Errorf("MayRepeat() = %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// TestLossOutcome guards against an untrue "not run" after a lost server.
-func TestLossOutcome(t *testing.T) {
+// TestLostRequestOutcome guards against an untrue "not run" after a lost server.
+func TestLostRequestOutcome(t *testing.T) {
 	for _, test := range []struct {
-		loss session.Loss
+		loss session.LostRequest
 		want session.Outcome
 	}{
-		{loss: session.Loss{}, want: session.OutcomeNotRun},
-		{loss: session.Loss{Writes: true}, want: session.OutcomeUnknown},
-		{loss: session.Loss{InTransaction: true, Writes: true}, want: session.OutcomeNotRun},
-		{loss: session.Loss{Commits: true, InTransaction: true, Writes: true}, want: session.OutcomeUnknown},
-		{loss: session.Loss{Commits: true, InTransaction: true}, want: session.OutcomeNotRun},
+		{loss: session.LostRequest{}, want: session.OutcomeNotRun},
+		{loss: session.LostRequest{Writes: true}, want: session.OutcomeUnknown},
+		{loss: session.LostRequest{InTransaction: true, Writes: true}, want: session.OutcomeNotRun},
+		{loss: session.LostRequest{Commits: true, InTransaction: true, Writes: true}, want: session.OutcomeUnknown},
+		{loss: session.LostRequest{Commits: true, InTransaction: true}, want: session.OutcomeNotRun},
 	} {
 		if got := test.loss.Outcome(); got != test.want {
 			t.Errorf("%+v: outcome %s, want %s", test.loss, got, test.want)
--- a/session/router.go
+++ b/session/router.go
@@ -7,19 +7,19 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// Need is what a statement or transaction asks of a server connection.
-type Need struct {
+// Requirements is what a statement or transaction asks of a server connection.
+type Requirements struct {
 	// Avoid holds servers that could not take this request.
 	Avoid map[fleet.ServerID]bool
 	// Deadline is when the caller's statement times out.
 	Deadline time.Time
 	// Own is the position of the session's last commit, or zero.
-	Own   fleet.Position
-	Route sheet.Route
+	LastWrite fleet.Position
+	Route     sheet.Route
 	// Since is when the caller sent the statement or began the transaction.
-	Since time.Time
+	StartedAt time.Time
 	// Values are those of the session. They must not be changed.
-	Values    map[string]string
+	Variables map[string]string
 	Workspace fleet.WorkspaceID
 	// Write asks for the primary, whatever the consistency of the route.
 	Write bool
@@ -31,18 +31,18 @@
 	Workspace fleet.WorkspaceID
 }
 
-// Gate decides on callers. Its errors are *Error.
-type Gate interface {
+// AccessController decides on callers. Its errors are *Error.
+type AccessController interface {
 	// Admit takes one operation from the limit of the workspace.
 	Admit(now time.Time, workspace fleet.WorkspaceID) *Error
 	// Check returns what a caller may do at a time.
-	Check(now time.Time, credentials Credentials) (Access, *Error)
+	Authorize(now time.Time, credentials Credentials) (Access, *Error)
 }
 
 // Router finds server connections.
 type Router interface {
 	// Acquire returns a connection that is held until Release.
-	Acquire(need Need) (Lease, *Error)
+	Acquire(need Requirements) (Lease, *Error)
 }
 
 // RunError says how a command ended that did not succeed.
@@ -56,7 +56,7 @@
 // Lease is a connection to a backend server that the session holds.
 type Lease interface {
 	// After is the position that reads must ask for, or zero.
-	After() fleet.Position
+	MinPosition() fleet.Position
 	// Exclusive reports whether the server was certainly the only primary from
 	// when the statement was sent to now. It is always true for reads of
 	// replicas.
--- a/session/session.go
+++ b/session/session.go
@@ -33,18 +33,18 @@
 // Observer is told how requests end.
 type Observer interface {
 	// Observe takes the end of one statement.
-	Observe(now time.Time, ended Ended)
+	Observe(now time.Time, ended Completion)
 }
 
-// Ended is how a statement ended.
-type Ended struct {
+// Completion is how a statement ended.
+type Completion struct {
 	// Attempts is the number of servers that it was offered to.
 	Attempts int
 	// Err is nil for a success.
 	Err *Error
 	// Latency is the whole time in the instance.
-	Latency time.Duration
-	Need    Need
+	Latency      time.Duration
+	Requirements Requirements
 	// Server is the last one that it was offered to, or empty.
 	Server    fleet.ServerID
 	Statement Statement
@@ -52,13 +52,13 @@
 
 // Config is what a session depends on.
 type Config struct {
-	Clock Clock
-	Gate  Gate
+	Clock            Clock
+	AccessController AccessController
 	// Jitter returns a random number in [0, 1).
 	Jitter   func() float64
 	Observer Observer
 	// Pause waits for a span of time.
-	Pause  func(time.Duration)
+	Sleep  func(time.Duration)
 	Router Router
 }
 
@@ -81,13 +81,13 @@
 	access Access
 	// lease is nil until the first statement, and after the transaction failed.
 	lease Lease
-	need  Need
+	need  Requirements
 	wrote bool
 }
 
 // Open returns the session of a caller that may use the database.
 func Open(config Config, credentials Credentials) (*Session, *Error) {
-	if _, err := config.Gate.Check(config.Clock(), credentials); err != nil {
+	if _, err := config.AccessController.Authorize(config.Clock(), credentials); err != nil {
 		return nil, err
 	}
 	return &Session{
@@ -105,7 +105,7 @@
 }
 
 // Expire fails a transaction that was idle for too long. Nothing of it is kept.
-func (s *Session) Expire() {
+func (s *Session) ExpireTransaction() {
 	if s.state == StateTransaction {
 		s.endTransaction(false)
 		s.state = StateFailed
@@ -167,7 +167,7 @@
 	}
 	access, err := s.admit(now)
 	if err != nil {
-		s.observe(now, s.config.Clock(), statement, Need{Route: access.Route, Workspace: access.Workspace}, 0, err)
+		s.observe(now, s.config.Clock(), statement, Requirements{Route: access.Route, Workspace: access.Workspace}, 0, err)
 		return s.failed(err)
 	}
 	need := s.need(now, access)
@@ -179,25 +179,25 @@
 
 // admit checks the caller and takes one operation from its limit.
 func (s *Session) admit(now time.Time) (Access, *Error) {
-	access, err := s.config.Gate.Check(now, s.credentials)
+	access, err := s.config.AccessController.Authorize(now, s.credentials)
 	if err != nil {
 		return access, err
 	}
-	if err := s.config.Gate.Admit(now, access.Workspace); err != nil {
+	if err := s.config.AccessController.Admit(now, access.Workspace); err != nil {
 		return access, err
 	}
 	// Admission may have waited for another instance, or the process been
 	// suspended.
-	return s.config.Gate.Check(s.config.Clock(), s.credentials)
+	return s.config.AccessController.Authorize(s.config.Clock(), s.credentials)
 }
 
-func (s *Session) need(now time.Time, access Access) Need {
-	return Need{
+func (s *Session) need(now time.Time, access Access) Requirements {
+	return Requirements{
 		Deadline:  now.Add(access.Route.StatementTimeout.Duration()),
-		Own:       s.own,
+		LastWrite: s.own,
 		Route:     access.Route,
-		Since:     now,
-		Values:    s.values,
+		StartedAt: now,
+		Variables: s.values,
 		Workspace: access.Workspace,
 	}
 }
@@ -214,7 +214,7 @@
 	}
 	access, err := s.admit(start)
 	if err != nil {
-		s.observe(start, s.config.Clock(), statement, Need{Route: access.Route, Workspace: access.Workspace}, 0, err)
+		s.observe(start, s.config.Clock(), statement, Requirements{Route: access.Route, Workspace: access.Workspace}, 0, err)
 		return s.failed(err)
 	}
 	need := s.need(start, access)
@@ -237,7 +237,7 @@
 
 // patience returns until when one server may take. The answer of a read may
 // be lost on its way, so the first server gets only a part of the time.
-func (s *Session) patience(need Need, attempts int) time.Time {
+func (s *Session) patience(need Requirements, attempts int) time.Time {
 	target := need.Route.TargetLatency.Duration()
 	if need.Write || target == 0 || attempts > 1 {
 		return need.Deadline
@@ -256,7 +256,7 @@
 
 // attempt offers a request to servers until one answers for good. A request
 // that writes is offered again only if it did not run.
-func (s *Session) attempt(need *Need, attempts *int, write bool, try func(Lease) (Reply, *Error)) (Reply, *Error) {
+func (s *Session) attempt(need *Requirements, attempts *int, write bool, try func(Lease) (Reply, *Error)) (Reply, *Error) {
 	for {
 		lease, err := s.config.Router.Acquire(*need)
 		if err != nil {
@@ -273,23 +273,23 @@
 			Deadline:   need.Deadline,
 			Lost:       err.Kind == KindUnknown || err.Kind == KindFailed,
 			Refused:    err.Kind.NotRun(),
-			Repeatable: !write,
+			Idempotent: !write,
 		}
-		if *attempts >= maxAttempts || !made.MayRepeat(s.config.Clock().Add(wait)) {
+		if *attempts >= maxAttempts || !made.MayRetry(s.config.Clock().Add(wait)) {
 			return Reply{}, s.readOutcome(write, err)
 		}
 		avoid := map[fleet.ServerID]bool{lease.Server(): true}
 		maps.Copy(avoid, need.Avoid)
 		need.Avoid = avoid
-		s.config.Pause(wait)
+		s.config.Sleep(wait)
 	}
 }
 
 // repeatWait returns the wait before the request is offered again. Only another
 // replica can be asked at once.
-func (s *Session) repeatWait(attempts int, need Need, err *Error) time.Duration {
+func (s *Session) repeatWait(attempts int, need Requirements, err *Error) time.Duration {
 	if err.Kind == KindBusy || need.Write || need.Route.Consistency == sheet.ConsistencyPrimary {
-		return RepeatWait(attempts, s.config.Jitter())
+		return RetryDelay(attempts, s.config.Jitter())
 	}
 	return 0
 }
@@ -297,21 +297,21 @@
 // readOutcome turns an unknown outcome of a read into one that promises that
 // nothing is kept, because a read keeps nothing.
 func (s *Session) readOutcome(write bool, err *Error) *Error {
-	if err.Kind != KindUnknown || (Loss{Writes: write}).Outcome() == OutcomeUnknown {
+	if err.Kind != KindUnknown || (LostRequest{Writes: write}).Outcome() == OutcomeUnknown {
 		return err
 	}
 	return &Error{Err: err.Err, Kind: KindBusy, Op: err.Op, RetryAfter: err.RetryAfter}
 }
 
 // runOn runs a single statement on a connection and gives it back.
-func (s *Session) runOn(lease Lease, need Need, deadline time.Time, statement Statement, template *Template) (Reply, *Error) {
+func (s *Session) runOn(lease Lease, need Requirements, deadline time.Time, statement Statement, template *Template) (Reply, *Error) {
 	defer lease.Release()
 	if err := s.align(lease, deadline, template, nil); err != nil {
 		return Reply{}, err
 	}
 	command := commandOf(statement, template)
 	if !need.Write {
-		command.After = lease.After()
+		command.MinPosition = lease.MinPosition()
 	}
 	if need.Write && !lease.Exclusive(s.config.Clock()) {
 		return Reply{}, &Error{Err: errors.New("the primary may have been replaced"), Kind: KindReadOnly, Op: "run"}
@@ -331,7 +331,7 @@
 
 // align gives the connection the session's values, and what must follow.
 func (s *Session) align(lease Lease, deadline time.Time, template *Template, after []Command) *Error {
-	commands := append(lease.State().Align(s.values, template), after...)
+	commands := append(lease.State().Sync(s.values, template), after...)
 	if len(commands) == 0 {
 		return nil
 	}
@@ -373,8 +373,8 @@
 	return statement.Kind == StatementWrite || (template != nil && template.Write)
 }
 
-func (s *Session) observe(start, now time.Time, statement Statement, need Need, attempts int, err *Error) {
-	ended := Ended{Attempts: attempts, Err: err, Latency: now.Sub(start), Need: need, Statement: statement}
+func (s *Session) observe(start, now time.Time, statement Statement, need Requirements, attempts int, err *Error) {
+	ended := Completion{Attempts: attempts, Err: err, Latency: now.Sub(start), Requirements: need, Statement: statement}
 	if attempts > 0 {
 		ended.Server = s.lastServer
 	}
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -164,15 +164,15 @@
 	}
 }
 
-// TestExpire guards against an idle transaction that keeps its connection, and
+// TestExpireTransaction guards against an idle transaction that keeps its connection, and
 // against a commit of it that succeeds.
-func TestExpire(t *testing.T) {
+func TestExpireTransaction(t *testing.T) {
 	s := newServer("a")
 	w := newWorld(s)
 	opened := w.open()
 	opened.Do(statement(session.StatementBegin))
 	opened.Do(statement(session.StatementWrite))
-	opened.Expire()
+	opened.ExpireTransaction()
 	if s.inTransaction || w.released != 1 {
 		t.Error("the connection of an expired transaction was not given back")
 	}
@@ -211,7 +211,7 @@
 				sessions[i].Do(session.Statement{ID: "1", Kind: session.StatementSet, Name: name, Value: value})
 				expected[i][name] = value
 			case 1:
-				sessions[i].Do(session.Statement{ID: "1", Kind: session.StatementPrepare, Name: name, Template: session.Template{Shape: name}})
+				sessions[i].Do(session.Statement{ID: "1", Kind: session.StatementPrepare, Name: name, Template: session.Template{Text: name}})
 			case 2:
 				sessions[i].Do(session.Statement{ID: "1", Kind: session.StatementExecute, Name: name})
 			case 3:
--- a/session/statement.go
+++ b/session/statement.go
@@ -43,7 +43,7 @@
 // Template is what a prepared statement runs.
 type Template struct {
 	// Shape is the text of the statement without its arguments.
-	Shape string
+	Text  string
 	Write bool
 }
 
@@ -68,7 +68,7 @@
 type Command struct {
 	Statement
 	// After is the position that the server's log must hold, or zero.
-	After fleet.Position
+	MinPosition fleet.Position
 }
 
 // Reply is a backend server's answer to one command that succeeded.
--- a/session/transaction.go
+++ b/session/transaction.go
@@ -49,7 +49,7 @@
 		kind = StatementBegin
 	}
 	_, err := s.attempt(&t.need, attempts, false, func(lease Lease) (Reply, *Error) {
-		begin := Command{Statement: Statement{Kind: kind}, After: lease.After()}
+		begin := Command{Statement: Statement{Kind: kind}, MinPosition: lease.MinPosition()}
 		if t.need.Write && !lease.Exclusive(s.config.Clock()) {
 			lease.Release()
 			return Reply{}, &Error{Err: errors.New("the primary may have been replaced"), Kind: KindReadOnly, Op: "begin"}
@@ -68,7 +68,7 @@
 // inTransaction answers with an error. Inside a transaction it fails it, so
 // that the server connection is free at once.
 func (s *Session) inTransaction(start time.Time, statement Statement, err *Error) Result {
-	need := Need{}
+	need := Requirements{}
 	if s.transaction != nil {
 		need = s.transaction.need
 	}
@@ -123,7 +123,7 @@
 	if failure != nil {
 		err := errorOf("commit", failure)
 		lost := err.Kind == KindUnknown || err.Kind == KindTimeout
-		if lost && (Loss{Commits: true, InTransaction: true, Writes: t.wrote}).Outcome() == OutcomeNotRun {
+		if lost && (LostRequest{Commits: true, InTransaction: true, Writes: t.wrote}).Outcome() == OutcomeNotRun {
 			err.Kind = KindAborted
 		}
 		return Reply{}, err
--- a/workspace/compare.go
+++ b/workspace/compare.go
@@ -15,14 +15,14 @@
 
 // Strategies that are compared.
 const (
-	// StrategyCentral counts each request in the table.
-	StrategyCentral Strategy = "CentralCounter"
-	// StrategyMoved lets instances move shares to peers that ask.
-	StrategyMoved Strategy = "MovedShares"
-	// StrategyOwner lets one instance for each workspace lease tokens in batches.
-	StrategyOwner Strategy = "OwnerLeases"
-	// StrategyStatic gives each instance the same share for good.
-	StrategyStatic Strategy = "StaticShares"
+	// StrategyCentralCounter counts each request in the table.
+	StrategyCentralCounter Strategy = "CentralCounter"
+	// StrategyMovedShares lets instances move shares to peers that ask.
+	StrategyMovedShares Strategy = "MovedShares"
+	// StrategyOwnerLeases lets one instance for each workspace lease tokens in batches.
+	StrategyOwnerLeases Strategy = "OwnerLeases"
+	// StrategyStaticShares gives each instance the same share for good.
+	StrategyStaticShares Strategy = "StaticShares"
 )
 
 // Skew is how arrivals spread over the instances.
@@ -90,7 +90,7 @@
 	var results []Comparison
 	for _, skew := range []Skew{SkewEightyTwenty, SkewEqual, SkewMoving, SkewOne} {
 		arrivals := compareArrivals(seed, skew, limits, lost)
-		for _, name := range []Strategy{StrategyCentral, StrategyMoved, StrategyOwner, StrategyStatic} {
+		for _, name := range []Strategy{StrategyCentralCounter, StrategyMovedShares, StrategyOwnerLeases, StrategyStaticShares} {
 			results = append(results, compareOne(name, skew, limits, arrivals, lost)...)
 		}
 	}
@@ -177,12 +177,12 @@
 
 func newStrategy(name Strategy, begin time.Time, limits []Limit, lost int) strategy {
 	switch name {
-	case StrategyCentral:
+	case StrategyCentralCounter:
 		return &centralStrategy{begin: begin, buckets: newBuckets(begin, limits), limits: limits}
-	case StrategyOwner:
+	case StrategyOwnerLeases:
 		return &ownerStrategy{begin: begin, leases: make(map[arrivalKey]*tokenLease), limits: limits, lost: lost, owner: newBuckets(begin, limits)}
 	}
-	moved := &sharesStrategy{begin: begin, limits: limits, lost: lost, move: name == StrategyMoved}
+	moved := &sharesStrategy{begin: begin, limits: limits, lost: lost, move: name == StrategyMovedShares}
 	for range compareInstances {
 		limiter := NewLimiter()
 		limiter.Renew(begin, begin.Add(time.Hour))
@@ -329,13 +329,13 @@
 	})
 	for _, i := range order {
 		demand := member.demands[limit]
-		wanted := demand.Wanted(now, member.limiter.Share(now, id))
+		wanted := demand.Shortfall(now, member.limiter.Share(now, id))
 		if demand.Rate(now) < 1e-3 || wanted.Level <= 0 && wanted.Rate <= 0 {
 			return
 		}
 		donor := s.members[i]
 		share := donor.limiter.Share(now, id)
-		given, kept := donor.demands[limit].Spare(now, share, wanted)
+		given, kept := donor.demands[limit].SplitForPeer(now, share, wanted)
 		if given == (Share{}) {
 			member.emptyUntil[arrivalKey{i, limit}] = now.Add(compareMovePause)
 			continue
--- a/workspace/compare_test.go
+++ b/workspace/compare_test.go
@@ -45,8 +45,8 @@
 		if s.over > 0 {
 			t.Errorf("%v admits %.0f requests above the limit", k, s.over)
 		}
-		moved := sums[key{k.skew, workspace.StrategyMoved}]
-		if k.strategy != workspace.StrategyOwner && k.strategy != workspace.StrategyMoved && moved.wrongful >= s.wrongful {
+		moved := sums[key{k.skew, workspace.StrategyMovedShares}]
+		if k.strategy != workspace.StrategyOwnerLeases && k.strategy != workspace.StrategyMovedShares && moved.wrongful >= s.wrongful {
 			t.Errorf("%s: moved shares refuse %.0f wrongfully, %s %.0f", k.skew, moved.wrongful, k.strategy, s.wrongful)
 		}
 	}
--- a/workspace/demand.go
+++ b/workspace/demand.go
@@ -49,7 +49,7 @@
 
 // Need returns the share that covers the recent demand. An instance that sees
 // no requests needs nothing.
-func (d *Demand) Need(now time.Time) Share {
+func (d *Demand) RequiredShare(now time.Time) Share {
 	rate := d.Rate(now) * demandMargin
 	reserve := rate * demandReserve.Seconds()
 	return Share{Capacity: reserve, Level: reserve, Rate: rate}
@@ -57,8 +57,8 @@
 
 // Wanted returns what is missing in the share. A share that cannot hold one
 // whole request admits nothing, so at least that much is asked for.
-func (d *Demand) Wanted(now time.Time, share Share) Share {
-	need := d.Need(now)
+func (d *Demand) Shortfall(now time.Time, share Share) Share {
+	need := d.RequiredShare(now)
 	reserve := math.Max(1, need.Level)
 	return Share{
 		Capacity: math.Max(0, reserve-share.Capacity),
@@ -68,7 +68,7 @@
 }
 
 // Starved reports whether the last arrival was refused.
-func (d *Demand) Starved() bool {
+func (d *Demand) LastRefused() bool {
 	return d.starved
 }
 
@@ -76,8 +76,8 @@
 // keeps what its own demand needs. Level moves only with as much capacity, so
 // that it fits at the peer. What could not hold one whole request is of no use
 // to this instance and is given as well.
-func (d *Demand) Spare(now time.Time, share, wanted Share) (given, kept Share) {
-	need := d.Need(now)
+func (d *Demand) SplitForPeer(now time.Time, share, wanted Share) (given, kept Share) {
+	need := d.RequiredShare(now)
 	given.Rate = spare(share.Rate, wanted.Rate, need.Rate)
 	given.Level = spare(share.Level, wanted.Level, need.Level)
 	given.Capacity = math.Max(given.Level, spare(share.Capacity, wanted.Capacity, need.Capacity))
--- a/workspace/division.go
+++ b/workspace/division.go
@@ -19,10 +19,10 @@
 	extraLife = time.Second
 )
 
-// Division admits operations of workspaces on one instance: from its share of
+// DistributedLimiter admits operations of workspaces on one instance: from its share of
 // each limit, and from what it took from the pools. It also holds the pools that
 // this instance owns. It is safe for concurrent use.
-type Division struct {
+type DistributedLimiter struct {
 	mu     sync.Mutex
 	demand map[fleet.WorkspaceID]*demandMeter
 	// directory knows the pools of each workspace that has a limit.
@@ -48,9 +48,9 @@
 	until time.Time
 }
 
-// NewDivision returns a division of one instance, which admits nothing yet.
-func NewDivision(self fleet.InstanceID) *Division {
-	return &Division{
+// NewDistributedLimiter returns a division of one instance, which admits nothing yet.
+func NewDistributedLimiter(self fleet.InstanceID) *DistributedLimiter {
+	return &DistributedLimiter{
 		demand:    map[fleet.WorkspaceID]*demandMeter{},
 		directory: map[fleet.WorkspaceID]*poolDirectory{},
 		extra:     map[fleet.WorkspaceID]extraRequests{},
@@ -62,7 +62,7 @@
 
 // Add keeps requests that were taken from a pool. Those that are not used soon
 // are lost, so that they do not add up to a second burst.
-func (d *Division) Add(now time.Time, id fleet.WorkspaceID, requests float64) {
+func (d *DistributedLimiter) Add(now time.Time, id fleet.WorkspaceID, requests float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if left := d.extra[id]; now.Before(left.until) {
@@ -72,7 +72,7 @@
 }
 
 // Admit takes one operation of a workspace.
-func (d *Division) Admit(now time.Time, id fleet.WorkspaceID) Decision {
+func (d *DistributedLimiter) Admit(now time.Time, id fleet.WorkspaceID) Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refresh(now)
@@ -84,14 +84,14 @@
 }
 
 // Count notes that an operation of a workspace was asked for.
-func (d *Division) Count(now time.Time, id fleet.WorkspaceID) {
+func (d *DistributedLimiter) RecordDemand(now time.Time, id fleet.WorkspaceID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.meter(now, id).add(now, 1)
 }
 
 // Demand returns the demand of one workspace in requests a second.
-func (d *Division) Demand(now time.Time, id fleet.WorkspaceID) float64 {
+func (d *DistributedLimiter) Demand(now time.Time, id fleet.WorkspaceID) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	meter := d.meter(now, id)
@@ -102,7 +102,7 @@
 // Divide sets the shares and pools from the live instances, this one included.
 // All instances compute them from the same rows, so that they add up to no more
 // than the limits. Parts are left to a joining instance before it takes them.
-func (d *Division) Divide(now time.Time, limits []Limit, members []Member) {
+func (d *DistributedLimiter) Divide(now time.Time, limits []Limit, members []Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.limits, d.members, d.dividedAt = limits, members, now
@@ -111,14 +111,14 @@
 }
 
 // refresh divides anew if the age of a member has changed the parts.
-func (d *Division) refresh(now time.Time) {
+func (d *DistributedLimiter) refresh(now time.Time) {
 	if !d.changeAt.IsZero() && !now.Before(d.changeAt) {
 		d.apply(now)
 	}
 }
 
 // apply sets the parts by the ages of the members at a time.
-func (d *Division) apply(now time.Time) {
+func (d *DistributedLimiter) apply(now time.Time) {
 	members := make([]Member, len(d.members))
 	for i, m := range d.members {
 		members[i] = Member{Age: m.Age + now.Sub(d.dividedAt), Instance: m.Instance, Phase: m.Phase}
@@ -137,7 +137,7 @@
 	d.started = d.started || takesPart
 	for _, limit := range d.limits {
 		owners := PoolOwners(limit.Workspace, holding)
-		pooled := PooledPart(limit, len(members))
+		pooled := PooledFraction(limit, len(members))
 		direct, pool := 0.0, 0.0
 		if takesPart {
 			direct = (1 - pooled) / float64(len(members))
@@ -158,12 +158,12 @@
 }
 
 // joined reports whether this instance holds parts because of its age.
-func (d *Division) joined(members []Member) bool {
+func (d *DistributedLimiter) joined(members []Member) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Instance == d.self && m.Phase != PhaseHolding })
 }
 
 // forget drops the workspaces that have no limit any more.
-func (d *Division) forget() {
+func (d *DistributedLimiter) forget() {
 	known := make(map[fleet.WorkspaceID]bool, len(d.limits))
 	for _, limit := range d.limits {
 		known[limit.Workspace] = true
@@ -180,7 +180,7 @@
 
 // Give takes requests from the own pool of a workspace for an instance that
 // wants them. Without any, the time to come back is given.
-func (d *Division) Give(now time.Time, id fleet.WorkspaceID, want float64) (given float64, retryAfter time.Duration) {
+func (d *DistributedLimiter) TakeFromPool(now time.Time, id fleet.WorkspaceID, want float64) (given float64, retryAfter time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refresh(now)
@@ -189,7 +189,7 @@
 
 // Owners returns the owners of the pools of a workspace in the order in which
 // to ask them. It returns none if the instance may not admit.
-func (d *Division) Owners(now time.Time, id fleet.WorkspaceID) []PoolOwner {
+func (d *DistributedLimiter) PoolOwners(now time.Time, id fleet.WorkspaceID) []PoolOwner {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refresh(now)
@@ -201,7 +201,7 @@
 }
 
 // Renew sets the end of the time for which the instance may admit.
-func (d *Division) Renew(now, validUntil time.Time) {
+func (d *DistributedLimiter) Renew(now, validUntil time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.limiter.Renew(now, validUntil)
@@ -209,7 +209,7 @@
 }
 
 // TotalDemand returns the demand of all workspaces in requests a second.
-func (d *Division) TotalDemand(now time.Time) float64 {
+func (d *DistributedLimiter) TotalDemand(now time.Time) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	total := 0.0
@@ -221,7 +221,7 @@
 }
 
 // SkipOwner keeps one owner's pool from being asked for a while.
-func (d *Division) SkipOwner(id fleet.WorkspaceID, owner fleet.InstanceID, until time.Time) {
+func (d *DistributedLimiter) SkipOwner(id fleet.WorkspaceID, owner fleet.InstanceID, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	known := d.directory[id]
@@ -230,12 +230,12 @@
 	}
 	for i := range known.owners {
 		if known.owners[i].Instance == owner {
-			known.owners[i].Until = until
+			known.owners[i].SkipUntil = until
 		}
 	}
 }
 
-func (d *Division) meter(now time.Time, id fleet.WorkspaceID) *demandMeter {
+func (d *DistributedLimiter) meter(now time.Time, id fleet.WorkspaceID) *demandMeter {
 	meter := d.demand[id]
 	if meter == nil {
 		meter = &demandMeter{counted: now}
@@ -261,7 +261,7 @@
 }
 
 // takeExtra admits one request from what was taken from pools.
-func (d *Division) takeExtra(now time.Time, id fleet.WorkspaceID) bool {
+func (d *DistributedLimiter) takeExtra(now time.Time, id fleet.WorkspaceID) bool {
 	extra := d.extra[id]
 	if extra.count < 1 || !now.Before(extra.until) || !now.Before(d.limiter.ValidUntil()) {
 		return false
--- a/workspace/divisionmodel_test.go
+++ b/workspace/divisionmodel_test.go
@@ -30,7 +30,7 @@
 // modelInstance is one instance. It acts only while it is neither dead nor
 // paused, and reaches the store only while it is not cut off.
 type modelInstance struct {
-	division      *workspace.Division
+	division      *workspace.DistributedLimiter
 	participation *workspace.Participation
 	id            fleet.InstanceID
 
@@ -61,7 +61,7 @@
 
 // restart begins a new run that knows only its own row.
 func (m *divisionModel) restart(i *modelInstance, now time.Time) {
-	i.division, i.participation = workspace.NewDivision(i.id), workspace.NewParticipation()
+	i.division, i.participation = workspace.NewDistributedLimiter(i.id), workspace.NewParticipation()
 	i.nextBeat, i.nextLook = now, now
 	i.presence, i.readAt, i.since = time.Time{}, time.Time{}, time.Time{}
 	if row, found := m.rows[i.id]; found && now.Sub(row.at) < modelLease {
@@ -73,13 +73,13 @@
 // beat writes the own row.
 func (m *divisionModel) beat(i *modelInstance, now time.Time) {
 	if !i.presence.IsZero() && now.Sub(i.presence) >= modelLease {
-		i.participation.Lapse()
+		i.participation.Reset()
 		i.readAt = time.Time{}
 	}
 	i.since = i.ownSince(now)
-	phase, changed := i.participation.Next()
+	phase, changed := i.participation.NextPhase()
 	m.rows[i.id] = modelRow{at: now, since: i.since, phase: phase}
-	i.participation.Written(phase)
+	i.participation.PhaseWritten(phase)
 	i.presence = now
 	if changed {
 		i.nextLook = now.Add(modelTick)
@@ -121,11 +121,11 @@
 		}
 	}
 	age := now.Sub(i.ownSince(now))
-	i.participation.Look(age, others)
-	if _, changed := i.participation.Next(); changed {
+	i.participation.ObserveMembers(age, others)
+	if _, changed := i.participation.NextPhase(); changed {
 		i.nextBeat = now
 	}
-	own := workspace.Member{Age: age, Instance: i.id, Phase: i.participation.Own()}
+	own := workspace.Member{Age: age, Instance: i.id, Phase: i.participation.EffectivePhase()}
 	if m.joinAtOnce {
 		own.Phase = workspace.PhaseHolding
 	}
@@ -134,17 +134,17 @@
 
 // ask has an instance admit one operation, from the pools if need be.
 func (m *divisionModel) ask(i *modelInstance, now time.Time) {
-	i.division.Count(now, m.limit.Workspace)
+	i.division.RecordDemand(now, m.limit.Workspace)
 	if i.division.Admit(now, m.limit.Workspace).Admitted {
 		m.admitted = append(m.admitted, now)
 		return
 	}
-	for _, owner := range i.division.Owners(now, m.limit.Workspace) {
+	for _, owner := range i.division.PoolOwners(now, m.limit.Workspace) {
 		for _, other := range m.instances {
 			if other.id != owner.Instance || !other.acts(now) {
 				continue
 			}
-			if given, _ := other.division.Give(now, m.limit.Workspace, 1); given > 0 {
+			if given, _ := other.division.TakeFromPool(now, m.limit.Workspace, 1); given > 0 {
 				i.division.Add(now, m.limit.Workspace, given)
 				if i.division.Admit(now, m.limit.Workspace).Admitted {
 					m.admitted = append(m.admitted, now)
--- a/workspace/participation.go
+++ b/workspace/participation.go
@@ -70,13 +70,13 @@
 }
 
 // Lapse says that the own row may have counted as gone.
-func (p *Participation) Lapse() {
+func (p *Participation) Reset() {
 	*p = Participation{phase: PhaseStarting}
 }
 
 // Look takes in the other live instances. Age is that of the own row, which
 // must have been written before the look.
-func (p *Participation) Look(age time.Duration, others []Member) {
+func (p *Participation) ObserveMembers(age time.Duration, others []Member) {
 	if p.written == PhaseHolding {
 		p.confirmed = true
 	}
@@ -91,20 +91,20 @@
 	}
 }
 
-// MustLook reports whether the next look must show the own row as it was last
+// NeedsFreshRead reports whether the next look must show the own row as it was last
 // written, and so may not come from a copy.
-func (p *Participation) MustLook() bool {
+func (p *Participation) NeedsFreshRead() bool {
 	return p.phase == PhaseStarting || (p.phase == PhaseHolding && !p.confirmed)
 }
 
 // Next returns the phase that the own row is to show, and whether it shows
 // another one.
-func (p *Participation) Next() (phase Phase, changed bool) {
+func (p *Participation) NextPhase() (phase Phase, changed bool) {
 	return p.phase, p.phase != p.written
 }
 
 // Own returns the phase by which this instance counts itself.
-func (p *Participation) Own() Phase {
+func (p *Participation) EffectivePhase() Phase {
 	if p.phase == PhaseHolding && !p.confirmed {
 		return PhaseJoining
 	}
@@ -118,6 +118,6 @@
 }
 
 // Written says that the own row shows a phase.
-func (p *Participation) Written(phase Phase) {
+func (p *Participation) PhaseWritten(phase Phase) {
 	p.written = phase
 }
--- a/workspace/pooldirectory.go
+++ b/workspace/pooldirectory.go
@@ -11,7 +11,7 @@
 type PoolOwner struct {
 	Instance fleet.InstanceID
 	// Until is when the pool may be asked again.
-	Until time.Time
+	SkipUntil time.Time
 }
 
 // poolDirectory is what an instance knows of the pools of one workspace.
--- a/workspace/pooled.go
+++ b/workspace/pooled.go
@@ -22,9 +22,9 @@
 	poolOwners = 2
 )
 
-// PooledPart returns the part of a limit that is not divided between instances
+// PooledFraction returns the part of a limit that is not divided between instances
 // but lies in pools, from which each instance takes what it needs.
-func PooledPart(limit Limit, instances int) float64 {
+func PooledFraction(limit Limit, instances int) float64 {
 	divided := directPart / float64(instances)
 	if limit.Rate*divided < directLeast || limit.Burst*divided < directLeast {
 		return 1
