--- a/pool/latency.go
+++ b/pool/latency.go
@@ -6,43 +6,47 @@
 )
 
 const (
-	// firstLatency is assumed of a server that has not answered for long.
-	firstLatency = 25 * time.Millisecond
-	// latencyWeight is the weight of one answer among many: the estimate follows
-	// a change within some tens of answers.
-	latencyWeight = 0.1
-	// latencySpan is the time after which one answer tells more than all before
-	// it. At 68 instances each has two requests a second for a group, and tens
-	// of answers take longer than a server is overloaded.
-	latencySpan = 2 * time.Second
-	// latencyMemory is the time in which an estimate without answers returns
-	// to firstLatency, so that a server that was slow is tried again.
-	latencyMemory = 3 * time.Second
+	// defaultLatency is the estimate for a server that has not answered for a long
+	// time.
+	defaultLatency = 25 * time.Millisecond
+	// minLatencyWeight is the weight of a new sample when answers are frequent:
+	// the estimate then follows a change within some tens of answers.
+	minLatencyWeight = 0.1
+	// weightTimeConstant is the time constant with which the weight of a new
+	// sample grows with the time since the last one. After this time, one answer
+	// counts more than all earlier ones. With 68 instances, each sends two requests
+	// per second to a group, and tens of answers would take longer than a server is
+	// overloaded.
+	weightTimeConstant = 2 * time.Second
+	// decayTimeConstant is the time constant with which an estimate without new
+	// samples returns to defaultLatency, so that a server that was slow is tried
+	// again.
+	decayTimeConstant = 3 * time.Second
 )
 
-// LatencyEstimator estimates how long a server takes for a request. The zero value has
-// seen no answer.
+// LatencyEstimator estimates the latency of a server as an exponentially weighted
+// moving average. The zero value has no samples.
 type LatencyEstimator struct {
-	at       time.Time
-	estimate time.Duration
+	updatedAt time.Time
+	estimate  time.Duration
 }
 
-// Estimate returns the estimate at a time.
+// Estimate returns the estimated latency at time now.
 func (l *LatencyEstimator) Estimate(now time.Time) time.Duration {
-	if l.at.IsZero() {
-		return firstLatency
+	if l.updatedAt.IsZero() {
+		return defaultLatency
 	}
-	left := math.Exp(-now.Sub(l.at).Seconds() / latencyMemory.Seconds())
-	return firstLatency + time.Duration(left*float64(l.estimate-firstLatency))
+	remaining := math.Exp(-now.Sub(l.updatedAt).Seconds() / decayTimeConstant.Seconds())
+	return defaultLatency + time.Duration(remaining*float64(l.estimate-defaultLatency))
 }
 
-// Note takes in how long an answer took.
+// Record adds the latency of one answer.
 func (l *LatencyEstimator) Record(now time.Time, latency time.Duration) {
 	weight := 1.0
-	if !l.at.IsZero() {
-		weight = max(latencyWeight, 1-math.Exp(-now.Sub(l.at).Seconds()/latencySpan.Seconds()))
+	if !l.updatedAt.IsZero() {
+		weight = max(minLatencyWeight, 1-math.Exp(-now.Sub(l.updatedAt).Seconds()/weightTimeConstant.Seconds()))
 	}
-	before := l.Estimate(now)
-	l.estimate = before + time.Duration(weight*float64(latency-before))
-	l.at = now
+	previous := l.Estimate(now)
+	l.estimate = previous + time.Duration(weight*float64(latency-previous))
+	l.updatedAt = now
 }
--- a/pool/latency_test.go
+++ b/pool/latency_test.go
@@ -7,10 +7,11 @@
 	"github.com/nutmegpier/nutmegpier/pool"
 )
 
-// TestLatencyEstimator guards against an instance with few requests that goes on sending
-// reads to an overloaded server for as long as the overload lasts (a replica
-// that serves alone while the other one lags), against a busy one that jumps at
-// a single slow answer, and against a server that is never tried again.
+// TestLatencyEstimator guards against an instance with few requests that keeps
+// sending reads to an overloaded server as long as the overload lasts (a replica
+// that serves alone while the other one lags), against a busy instance whose
+// estimate jumps after a single slow answer, and against a server that is never
+// tried again.
 func TestLatencyEstimator(t *testing.T) {
 	const usual, slow = 20 * time.Millisecond, 400 * time.Millisecond
 	for _, test := range []struct {
@@ -24,7 +25,7 @@
 		{name: "few requests, two slow answers", interval: 700 * time.Millisecond, slow: 2, above: 150 * time.Millisecond, below: slow},
 		{name: "many requests, one slow answer", interval: 10 * time.Millisecond, slow: 1, above: usual, below: 80 * time.Millisecond},
 		{name: "many requests, all slow", interval: 10 * time.Millisecond, slow: 40, above: 300 * time.Millisecond, below: slow},
-		{name: "no request for long", interval: 10 * time.Millisecond, slow: 40, idle: 15 * time.Second, above: usual, below: 35 * time.Millisecond},
+		{name: "slow answers, then no requests", interval: 10 * time.Millisecond, slow: 40, idle: 15 * time.Second, above: usual, below: 35 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var l pool.LatencyEstimator
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,6 +1,7 @@
-// Package pool keeps connections to backend servers for many sessions.
-// Connections are scarce over all instances together and new ones are dear, so
-// each belongs to one workspace and is kept and reused.
+// Package pool shares connections to backend servers between sessions. A server
+// accepts only a limited number of connections from all instances together, and
+// opening one is expensive, so connections are kept and reused. Each connection is
+// opened for one workspace.
 package pool
 
 import (
@@ -13,30 +14,30 @@
 )
 
 const (
-	// idleBound closes connections that were not used for so long, so that
-	// other instances can open theirs.
-	idleBound = 20 * time.Second
-	// growInterval is the time after which a limit that the server lowered by
-	// refusing a connection is raised by one again.
-	growInterval = time.Second
-	// firstRefusedPause and maxRefusedPause bound the time after which an
-	// opening that the server refused is tried again. A connection that its
-	// owner closes leaves the server's count at once, that of an owner which
-	// is cut off after some seconds.
-	firstRefusedPause = 40 * time.Millisecond
-	maxRefusedPause   = 500 * time.Millisecond
-	// strangerPatience is how long a waiting request of another workspace
-	// lets requests go first that can use a connection as it is.
-	strangerPatience = 60 * time.Millisecond
+	// maxIdleTime is how long a connection may be idle before it is closed, so
+	// that other instances can open connections.
+	maxIdleTime = 20 * time.Second
+	// limitRaiseInterval is the interval at which a limit that was lowered because
+	// the server refused a connection is raised again by one.
+	limitRaiseInterval = time.Second
+	// initialDialBackoff and maxDialBackoff bound the backoff after a server
+	// refused a connection. The server stops counting a connection at once if the
+	// client closes it, and after some seconds if the client is disconnected.
+	initialDialBackoff = 40 * time.Millisecond
+	maxDialBackoff     = 500 * time.Millisecond
+	// reusePreferencePeriod is how long the first waiting request can be passed
+	// over in favor of requests of the workspace for which the released connection
+	// was opened. They can reuse it; another workspace needs a new connection.
+	reusePreferencePeriod = 60 * time.Millisecond
 )
 
 // Conn is an open connection to a backend server.
 type Conn interface {
-	// Alive reports whether the connection is still open at both ends, as far
-	// as can be told without sending.
+	// Alive reports whether the connection is still open, as far as can be
+	// determined without sending anything.
 	Alive() bool
 	Close()
-	// Run sends commands in one batch and returns the answer to the last.
+	// Run sends the commands in one batch and returns the reply to the last one.
 	Run(deadline time.Time, commands []session.Command) (session.Reply, *session.RunError)
 }
 
@@ -45,43 +46,44 @@
 	Address string
 	Group   fleet.GroupID
 	ID      fleet.ServerID
-	// Idle is the number of connections that this instance may keep without
-	// using them.
+	// Idle is the maximum number of idle connections that this instance may keep.
 	Idle int
-	// Limit is the number of connections that this instance may hold.
+	// Limit is the maximum number of connections that this instance may open.
 	Limit int
 }
 
-// Dialer opens connections. It returns an error with session.KindBusy if the
-// server takes no further connection.
+// Dialer opens connections to servers. The error has session.KindBusy if the
+// server accepts no further connection.
 type Dialer interface {
 	Dial(deadline time.Time, server Server, workspace fleet.WorkspaceID) (Conn, *session.RunError)
 }
 
-// PooledConn is a connection in use.
+// PooledConn is a connection that belongs to a pool, in use or idle.
 type PooledConn struct {
 	Conn
 	State *session.ConnState
 
-	broken    bool
-	owner     *serverState
-	released  time.Time
-	workspace fleet.WorkspaceID
+	broken     bool
+	owner      *serverState
+	releasedAt time.Time
+	workspace  fleet.WorkspaceID
 }
 
-// Break keeps the connection from being used again.
-func (h *PooledConn) MarkBroken() {
-	h.broken = true
+// MarkBroken makes Release close the connection instead of reusing it.
+func (c *PooledConn) MarkBroken() {
+	c.broken = true
 }
 
-// Counts are the numbers of one server.
+// Counts are the numbers of connections and waiting requests of one server.
 type Counts struct {
-	Idle    int
+	Idle int
+	// Open includes idle connections and those that are being opened.
 	Open    int
 	Waiting int
 }
 
-// Pool holds the connections of one instance. It is safe for concurrent use.
+// Pool manages the backend connections of one instance. It is safe for
+// concurrent use.
 type Pool struct {
 	clock  session.Clock
 	dialer Dialer
@@ -90,30 +92,37 @@
 	servers map[fleet.ServerID]*serverState
 }
 
+// serverState holds the connections to one server and the requests that wait for
+// one.
 type serverState struct {
-	// fullUntil is when the server may be asked again that refused a further
-	// connection, and pause the time before that.
-	fullUntil time.Time
-	pause     time.Duration
-
-	grown   time.Time
-	idle    []*PooledConn
-	limit   int
+	// refusedUntil is when the server may be dialed again after it refused a
+	// connection, and dialBackoff is the backoff that led to it.
+	refusedUntil time.Time
+	dialBackoff  time.Duration
+
+	limitChangedAt time.Time
+	idle           []*PooledConn
+	// limit is the current limit, which is lowered after the server refused a
+	// connection.
+	limit int
+	// open counts all connections, including idle ones and those that waiters
+	// are about to open.
 	open    int
 	server  Server
 	waiting []*waiter
 }
 
+// waiter is a request that waits for a connection to a server.
 type waiter struct {
-	// any accepts a connection of each workspace.
-	any bool
-	// again is when to ask anew although nothing was granted, or zero.
-	again time.Time
-	// granted gets a connection, or nil if the waiter may open one itself.
-	granted   chan *PooledConn
-	priority  int
-	since     time.Time
-	workspace fleet.WorkspaceID
+	// anyWorkspace means that the connection of any workspace will do.
+	anyWorkspace bool
+	// retryAt is when to try again if nothing was granted by then, or zero.
+	retryAt time.Time
+	// granted receives a connection, or nil if the waiter may open one itself.
+	granted    chan *PooledConn
+	priority   int
+	enqueuedAt time.Time
+	workspace  fleet.WorkspaceID
 }
 
 // New returns a pool without servers.
@@ -121,8 +130,8 @@
 	return &Pool{clock: clock, dialer: dialer, servers: map[fleet.ServerID]*serverState{}}
 }
 
-// SetServers replaces the known servers. Idle connections to servers that are
-// gone, or whose address changed, are closed; those in use when they are
+// SetServers replaces the set of servers. Connections to servers that were removed
+// or whose address changed are closed: idle ones at once, others when they are
 // released.
 func (p *Pool) SetServers(now time.Time, servers []Server) {
 	p.mu.Lock()
@@ -136,7 +145,7 @@
 			s = nil
 		}
 		if s == nil {
-			s = &serverState{grown: now, limit: server.Limit}
+			s = &serverState{limitChangedAt: now, limit: server.Limit}
 			p.servers[server.ID] = s
 		}
 		if server.Limit != s.server.Limit {
@@ -153,7 +162,7 @@
 	}
 }
 
-// Counts returns the numbers of a server.
+// Counts returns the counts of a server, which are zero if it isn't known.
 func (p *Pool) Counts(server fleet.ServerID) Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,68 +173,68 @@
 	return Counts{Idle: len(s.idle), Open: s.open, Waiting: len(s.waiting)}
 }
 
-// HasIdle reports whether a workspace could use a connection at once.
+// HasIdle reports whether there is an idle connection of the workspace.
 func (p *Pool) HasIdle(server fleet.ServerID, workspace fleet.WorkspaceID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.servers[server]
-	return s != nil && slices.ContainsFunc(s.idle, func(h *PooledConn) bool { return h.workspace == workspace })
+	return s != nil && slices.ContainsFunc(s.idle, func(conn *PooledConn) bool { return conn.workspace == workspace })
 }
 
-// Request asks for a connection.
+// Request describes a request for a connection.
 type Request struct {
-	// Deadline is until when the request may wait.
+	// Deadline is when the request stops waiting.
 	Deadline time.Time
-	// Priority orders waiting requests; zero goes first.
+	// Priority orders waiting requests; lower values go first.
 	Priority int
-	// Values are those of the session: a connection that holds them already
-	// is preferred.
+	// Variables are the session variables. A connection on which exactly these
+	// are set is preferred.
 	Variables map[string]string
 	Workspace fleet.WorkspaceID
 }
 
-// Acquire returns a connection of a workspace to a server. The error means
-// that nothing was sent.
+// Acquire returns a connection to a server for the request's workspace. It waits
+// for one until the deadline. An error means that no command was sent.
 func (p *Pool) Acquire(server fleet.ServerID, request Request) (*PooledConn, *session.RunError) {
 	for {
 		now := p.clock()
 		if !now.Before(request.Deadline) {
-			return nil, &session.RunError{Kind: session.KindBusy, Text: "all connections to the server are in use"}
+			return nil, &session.RunError{Kind: session.KindBusy, Text: "timed out waiting for a connection: all connections to the server are in use, or it accepts no more"}
 		}
-		held, w, failure := p.reserve(now, server, request)
+		conn, w, failure := p.reserve(now, server, request)
 		if failure != nil {
 			return nil, failure
 		}
-		if held != nil {
-			return held, nil
+		if conn != nil {
+			return conn, nil
 		}
 		if w != nil {
 			granted := false
-			if held, granted = p.wait(now, request.Deadline, server, w); held != nil {
-				return held, nil
+			if conn, granted = p.wait(now, request.Deadline, server, w); conn != nil {
+				return conn, nil
 			}
 			if !granted {
 				continue
 			}
 		}
-		held, failure, again := p.open(request.Deadline, server, request.Workspace)
-		if !again {
-			return held, failure
+		conn, failure, retry := p.open(request.Deadline, server, request.Workspace)
+		if !retry {
+			return conn, failure
 		}
 	}
 }
 
-// controlPriority goes before those of all requests.
+// controlPriority is before the priorities of all requests of callers.
 const controlPriority = -1
 
-// controlWorkspace is the owner of connections that were opened for control.
+// controlWorkspace is the workspace of connections that AcquireAny opens.
 const controlWorkspace fleet.WorkspaceID = "nutmegpier"
 
-// AcquireAny returns a connection of any workspace, for queries that are not
-// a caller's. It goes before all waiting requests, so that a server whose
-// connections are all in use can still be asked for its status.
+// AcquireAny returns a connection of any workspace, for queries that the instance
+// itself sends. It goes before all waiting requests, so that the status of a server
+// can be queried although all its connections are in use.
 func (p *Pool) AcquireAny(deadline time.Time, server fleet.ServerID) (*PooledConn, *session.RunError) {
-	busy := &session.RunError{Kind: session.KindBusy, Text: "no connection to the server is free"}
+	busy := &session.RunError{Kind: session.KindBusy, Text: "no connection to the server is available for a control query"}
 	now := p.clock()
 	p.mu.Lock()
 	s := p.servers[server]
@@ -235,74 +244,75 @@
 	}
 	var w *waiter
 	if len(s.idle) > 0 {
-		held := s.idle[0]
+		conn := s.idle[0]
 		s.idle = s.idle[1:]
 		p.mu.Unlock()
-		return held, nil
+		return conn, nil
 	}
 	if s.open < s.limit || s.open == 0 {
 		s.open++
 	} else {
-		w = &waiter{any: true, granted: make(chan *PooledConn, 1), priority: controlPriority, since: now}
+		w = &waiter{anyWorkspace: true, granted: make(chan *PooledConn, 1), priority: controlPriority, enqueuedAt: now}
 		s.enqueue(w)
 	}
 	p.mu.Unlock()
 	if w != nil {
-		held, granted := p.wait(now, deadline, server, w)
-		if held != nil {
-			return held, nil
+		conn, granted := p.wait(now, deadline, server, w)
+		if conn != nil {
+			return conn, nil
 		}
 		if !granted {
 			return nil, busy
 		}
 	}
-	held, failure, _ := p.open(deadline, server, controlWorkspace)
-	return held, failure
+	conn, failure, _ := p.open(deadline, server, controlWorkspace)
+	return conn, failure
 }
 
-// reserve takes an idle connection, or the right to open one (both results
-// nil), or a place in the queue.
+// reserve returns an idle connection, or a waiter that was added to the queue. If
+// both are nil, it has reserved a place for a new connection that the caller must
+// open.
 func (p *Pool) reserve(now time.Time, server fleet.ServerID, request Request) (*PooledConn, *waiter, *session.RunError) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.servers[server]
 	if s == nil {
-		return nil, nil, &session.RunError{Kind: session.KindBusy, Text: "the server is not known"}
+		return nil, nil, &session.RunError{Kind: session.KindBusy, Text: "the server is not in the configuration of the connection pool"}
 	}
-	s.grow(now)
-	if held := s.takeIdle(request.Workspace, request.Variables); held != nil {
-		return held, nil, nil
+	s.raiseLimit(now)
+	if conn := s.takeIdle(request.Workspace, request.Variables); conn != nil {
+		return conn, nil, nil
 	}
-	full := now.Before(s.fullUntil)
-	if s.open < s.limit && !full {
+	refused := now.Before(s.refusedUntil)
+	if s.open < s.limit && !refused {
 		s.open++
 		return nil, nil, nil
 	}
 	if len(s.idle) > 0 {
-		// The one that was not used for longest makes room.
+		// All idle connections are of other workspaces. Replace one of them.
 		s.closeOldest()
 		return nil, nil, nil
 	}
-	w := &waiter{granted: make(chan *PooledConn, 1), priority: request.Priority, since: now, workspace: request.Workspace}
-	if full && s.open < s.limit {
-		w.again = s.fullUntil
+	w := &waiter{granted: make(chan *PooledConn, 1), priority: request.Priority, enqueuedAt: now, workspace: request.Workspace}
+	if refused && s.open < s.limit {
+		w.retryAt = s.refusedUntil
 	}
 	s.enqueue(w)
 	return nil, w, nil
 }
 
-// wait waits for a connection, or for the right to open one (granted without
-// a connection).
-func (p *Pool) wait(now, deadline time.Time, server fleet.ServerID, w *waiter) (held *PooledConn, granted bool) {
-	bound := deadline
-	if !w.again.IsZero() && w.again.Before(deadline) {
-		bound = w.again
+// wait waits until the waiter is granted a connection or, if the returned one is nil,
+// the right to open one. It gives up at the deadline or at the waiter's retryAt.
+func (p *Pool) wait(now, deadline time.Time, server fleet.ServerID, w *waiter) (conn *PooledConn, granted bool) {
+	waitUntil := deadline
+	if !w.retryAt.IsZero() && w.retryAt.Before(deadline) {
+		waitUntil = w.retryAt
 	}
-	timer := time.NewTimer(bound.Sub(now))
+	timer := time.NewTimer(waitUntil.Sub(now))
 	defer timer.Stop()
 	select {
-	case held := <-w.granted:
-		return held, true
+	case conn := <-w.granted:
+		return conn, true
 	case <-timer.C:
 	}
 	p.mu.Lock()
@@ -314,16 +324,16 @@
 		}
 	}
 	select {
-	case held := <-w.granted:
-		return held, true
+	case conn := <-w.granted:
+		return conn, true
 	default:
 		return nil, false
 	}
 }
 
-// open opens the connection that reserve or a release made room for. Again is
-// true if the server refuses more connections for now.
-func (p *Pool) open(deadline time.Time, server fleet.ServerID, workspace fleet.WorkspaceID) (held *PooledConn, failure *session.RunError, again bool) {
+// open opens a connection for which a place is already counted. Retry is true if
+// the server refused it because it accepts no further connection for now.
+func (p *Pool) open(deadline time.Time, server fleet.ServerID, workspace fleet.WorkspaceID) (pooledConn *PooledConn, failure *session.RunError, retry bool) {
 	p.mu.Lock()
 	s := p.servers[server]
 	var target Server
@@ -332,83 +342,83 @@
 	}
 	p.mu.Unlock()
 	if s == nil {
-		return nil, &session.RunError{Kind: session.KindBusy, Text: "the server is gone"}, false
+		return nil, &session.RunError{Kind: session.KindBusy, Text: "the server was removed from the configuration of the connection pool"}, false
 	}
 	conn, failure := p.dialer.Dial(deadline, target, workspace)
 	if failure == nil {
 		p.mu.Lock()
-		s.pause = 0
+		s.dialBackoff = 0
 		p.mu.Unlock()
 		return &PooledConn{Conn: conn, State: session.NewConnState(), owner: s, workspace: workspace}, nil, false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s.open--
-	full := failure.Kind == session.KindBusy
-	if full {
+	refused := failure.Kind == session.KindBusy
+	if refused {
 		s.limit = max(1, s.open)
-		s.grown = p.clock()
-		s.pause = min(maxRefusedPause, max(firstRefusedPause, 2*s.pause))
-		s.fullUntil = s.grown.Add(s.pause)
+		s.limitChangedAt = p.clock()
+		s.dialBackoff = min(maxDialBackoff, max(initialDialBackoff, 2*s.dialBackoff))
+		s.refusedUntil = s.limitChangedAt.Add(s.dialBackoff)
 	}
-	s.wake(p.clock())
-	return nil, failure, full
+	s.wakeWaiters(p.clock())
+	return nil, failure, refused
 }
 
-// Release gives a connection back.
-func (p *Pool) Release(server fleet.ServerID, held *PooledConn) {
+// Release returns a connection to the pool.
+func (p *Pool) Release(server fleet.ServerID, conn *PooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock()
 	s := p.servers[server]
-	if s == nil || s != held.owner {
-		held.Close()
+	if s == nil || s != conn.owner {
+		conn.Close()
 		return
 	}
-	if held.broken || s.open > s.limit {
-		held.Close()
+	if conn.broken || s.open > s.limit {
+		conn.Close()
 		s.open--
-		s.wake(now)
+		s.wakeWaiters(now)
 		return
 	}
-	held.released = now
-	if w := s.next(now, held.workspace); w != nil {
-		if w.any || w.workspace == held.workspace {
-			w.granted <- held
+	conn.releasedAt = now
+	if w := s.nextWaiter(now, conn.workspace); w != nil {
+		if w.anyWorkspace || w.workspace == conn.workspace {
+			w.granted <- conn
 			return
 		}
-		held.Close()
+		conn.Close()
 		w.granted <- nil
 		return
 	}
 	if len(s.idle) >= s.server.Idle {
-		// Other instances need the place more than this one the connection.
-		held.Close()
+		// Close it, so that other instances can open a connection.
+		conn.Close()
 		s.open--
 		return
 	}
-	s.idle = append(s.idle, held)
+	s.idle = append(s.idle, conn)
 }
 
-// Sweep closes connections that were idle for long.
+// Sweep closes connections that were idle for longer than maxIdleTime.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.servers {
-		for len(s.idle) > 0 && now.Sub(s.idle[0].released) > idleBound {
+		for len(s.idle) > 0 && now.Sub(s.idle[0].releasedAt) > maxIdleTime {
 			s.closeOldest()
 			s.open--
 		}
 	}
 }
 
-// Drop closes the idle connections to a server.
+// CloseIdle closes the idle connections to one server.
 func (p *Pool) CloseIdle(server fleet.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.servers[server]; s != nil {
 		s.closeIdle()
-		s.wake(p.clock())
+		s.wakeWaiters(p.clock())
 	}
 }
 
@@ -421,8 +431,8 @@
 	}
 }
 
-// trimIdle closes the idle connections over the allowed number, the ones that
-// were not used for longest first.
+// trimIdle closes idle connections until their number is within the limit, the
+// least recently used ones first.
 func (s *serverState) trimIdle() {
 	for len(s.idle) > s.server.Idle {
 		s.closeOldest()
@@ -430,38 +440,41 @@
 	}
 }
 
-// closeOldest closes the idle connection that was not used for longest. Its
-// place stays counted.
+// closeOldest closes the least recently used idle connection. It stays counted in
+// open, so that the caller can open another one in its place.
 func (s *serverState) closeOldest() {
 	s.idle[0].Close()
 	s.idle = s.idle[1:]
 }
 
+// closeIdle closes all idle connections.
 func (s *serverState) closeIdle() {
-	for _, held := range s.idle {
-		held.Close()
+	for _, conn := range s.idle {
+		conn.Close()
 	}
 	s.open -= len(s.idle)
 	s.idle = nil
 }
 
-// grow raises a limit that a refusal lowered, one step at a time.
-func (s *serverState) grow(now time.Time) {
-	if s.limit < s.server.Limit && now.Sub(s.grown) >= growInterval {
+// raiseLimit raises a limit that was lowered after a refusal, by one each
+// limitRaiseInterval.
+func (s *serverState) raiseLimit(now time.Time) {
+	if s.limit < s.server.Limit && now.Sub(s.limitChangedAt) >= limitRaiseInterval {
 		s.limit++
-		s.grown = now
+		s.limitChangedAt = now
 	}
 }
 
-// takeIdle takes the connection of the workspace that was used last, and one
-// that holds the values before one that does not.
-func (s *serverState) takeIdle(workspace fleet.WorkspaceID, values map[string]string) *PooledConn {
+// takeIdle removes and returns an idle connection of the workspace, or nil. It
+// prefers one on which exactly the session variables are set, and then the most
+// recently used one.
+func (s *serverState) takeIdle(workspace fleet.WorkspaceID, variables map[string]string) *PooledConn {
 	chosen := -1
 	for i := len(s.idle) - 1; i >= 0; i-- {
 		if s.idle[i].workspace != workspace {
 			continue
 		}
-		if s.idle[i].State.HasVariables(values) {
+		if s.idle[i].State.HasVariables(variables) {
 			chosen = i
 			break
 		}
@@ -472,33 +485,34 @@
 	if chosen < 0 {
 		return nil
 	}
-	held := s.idle[chosen]
+	conn := s.idle[chosen]
 	s.idle = slices.Delete(s.idle, chosen, chosen+1)
-	if !held.Alive() {
-		held.Close()
+	if !conn.Alive() {
+		conn.Close()
 		s.open--
-		return s.takeIdle(workspace, values)
+		return s.takeIdle(workspace, variables)
 	}
-	return held
+	return conn
 }
 
-// enqueue adds a waiter behind those of its priority.
+// enqueue adds a waiter behind the others of its priority.
 func (s *serverState) enqueue(w *waiter) {
-	place := len(s.waiting)
-	for place > 0 && s.waiting[place-1].priority > w.priority {
-		place--
+	index := len(s.waiting)
+	for index > 0 && s.waiting[index-1].priority > w.priority {
+		index--
 	}
-	s.waiting = slices.Insert(s.waiting, place, w)
+	s.waiting = slices.Insert(s.waiting, index, w)
 }
 
-// next removes the waiter whose turn it is: the first of the same workspace,
-// unless the first of all has waited for long.
-func (s *serverState) next(now time.Time, workspace fleet.WorkspaceID) *waiter {
+// nextWaiter removes and returns the next waiter, or nil. This is the first one of
+// the given workspace with the priority of the queue's head, unless there is none
+// or the head has waited for reusePreferencePeriod or accepts any workspace.
+func (s *serverState) nextWaiter(now time.Time, workspace fleet.WorkspaceID) *waiter {
 	if len(s.waiting) == 0 {
 		return nil
 	}
 	chosen := 0
-	if first := s.waiting[0]; !first.any && now.Sub(first.since) < strangerPatience {
+	if first := s.waiting[0]; !first.anyWorkspace && now.Sub(first.enqueuedAt) < reusePreferencePeriod {
 		chosen = max(0, slices.IndexFunc(s.waiting, func(w *waiter) bool { return w.priority == first.priority && w.workspace == workspace }))
 	}
 	w := s.waiting[chosen]
@@ -506,10 +520,10 @@
 	return w
 }
 
-// wake lets waiters open connections for which there is room.
-func (s *serverState) wake(now time.Time) {
-	for len(s.waiting) > 0 && s.open < s.limit && !now.Before(s.fullUntil) {
+// wakeWaiters lets waiters open connections while the limit allows it.
+func (s *serverState) wakeWaiters(now time.Time) {
+	for len(s.waiting) > 0 && s.open < s.limit && !now.Before(s.refusedUntil) {
 		s.open++
-		s.next(now, "").granted <- nil
+		s.nextWaiter(now, "").granted <- nil
 	}
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -12,13 +12,14 @@
 	"github.com/nutmegpier/nutmegpier/session"
 )
 
-// dialer opens connections in memory and counts them.
+// dialer is a fake dialer that counts the open connections.
 type dialer struct {
 	mu sync.Mutex
-	// full is the number of openings that are refused.
-	full   int
-	open   int
-	opened []fleet.WorkspaceID
+	// refusals is the number of coming calls of Dial that fail because the server
+	// accepts no further connection.
+	refusals int
+	open     int
+	opened   []fleet.WorkspaceID
 }
 
 type conn struct {
@@ -29,8 +30,8 @@
 func (d *dialer) Dial(_ time.Time, _ pool.Server, workspace fleet.WorkspaceID) (pool.Conn, *session.RunError) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.full > 0 {
-		d.full--
+	if d.refusals > 0 {
+		d.refusals--
 		return nil, &session.RunError{Kind: session.KindBusy, Text: "full"}
 	}
 	d.open++
@@ -58,15 +59,15 @@
 
 func acquire(t *testing.T, p *pool.Pool, workspace fleet.WorkspaceID) *pool.PooledConn {
 	t.Helper()
-	held, failure := p.Acquire("s", pool.Request{Deadline: time.Now().Add(time.Minute), Workspace: workspace})
+	pooledConn, failure := p.Acquire("s", pool.Request{Deadline: time.Now().Add(time.Minute), Workspace: workspace})
 	if failure != nil {
 		t.Fatalf("Acquire() = %v", failure)
 	}
-	return held
+	return pooledConn
 }
 
-// TestConnectionsBelongToOneWorkspace guards against a connection that carries
-// requests of two workspaces, and against more connections than the limit.
+// TestConnectionsBelongToOneWorkspace guards against reusing a connection for
+// another workspace, and against exceeding the connection limit.
 func TestConnectionsBelongToOneWorkspace(t *testing.T) {
 	d := &dialer{}
 	p := newPool(d, 1)
@@ -74,15 +75,15 @@
 	p.Release("s", acquire(t, p, "w"))
 	p.Release("s", acquire(t, p, "v"))
 	if diff := cmp.Diff([]fleet.WorkspaceID{"w", "v"}, d.opened); diff != "" {
-		t.Errorf("openings (-want +got):\n%s", diff)
+		t.Errorf("workspaces of the opened connections (-want +got):\n%s", diff)
 	}
 	if d.open != 1 {
 		t.Errorf("%d connections are open, want 1", d.open)
 	}
 }
 
-// TestIdleIsBounded guards against an idle connection that shuts out another
-// instance because the server takes no more.
+// TestIdleIsBounded guards against idle connections above the limit, which use up
+// the server's connections so that another instance can't open any.
 func TestIdleIsBounded(t *testing.T) {
 	d := &dialer{}
 	p := newPool(d, 2)
@@ -90,7 +91,7 @@
 	p.Release("s", a)
 	p.SetServers(time.Now(), []pool.Server{{Address: "a", ID: "s", Idle: 0, Limit: 2}})
 	if d.open != 1 {
-		t.Errorf("%d connections are open after the bound was lowered, want the one in use", d.open)
+		t.Errorf("%d connections are open after the idle limit was lowered, want the one in use", d.open)
 	}
 	p.Release("s", b)
 	if d.open != 0 {
@@ -102,23 +103,23 @@
 	}
 }
 
-// TestFullServer guards against a server that is asked again and again while
-// it refuses connections, and against a request that is then lost.
+// TestFullServer guards against dialing a server without backoff while it refuses
+// connections, and against failing a request that could wait for it.
 func TestFullServer(t *testing.T) {
-	d := &dialer{full: 2}
+	d := &dialer{refusals: 2}
 	p := newPool(d, 2)
 	began := time.Now()
 	p.Release("s", acquire(t, p, "w"))
 	if waited := time.Since(began); waited < 40*time.Millisecond {
-		t.Errorf("a full server was asked three times within %v", waited)
+		t.Errorf("a full server was dialed three times within %v", waited)
 	}
 }
 
-// TestAcquireAny guards against a status query that waits behind requests
-// while all connections are in use.
+// TestAcquireAny guards against a status query that waits behind requests of
+// callers while all connections are in use.
 func TestAcquireAny(t *testing.T) {
 	p := newPool(&dialer{}, 1)
-	held := acquire(t, p, "w")
+	pooledConn := acquire(t, p, "w")
 	order := make(chan string, 2)
 	var waiting sync.WaitGroup
 	waiting.Go(func() {
@@ -139,23 +140,23 @@
 	})
 	for p.Counts("s").Waiting < 2 {
 	}
-	p.Release("s", held)
+	p.Release("s", pooledConn)
 	waiting.Wait()
 	if first := <-order; first != "status" {
-		t.Errorf("the %s came first", first)
+		t.Errorf("the %s got the connection first", first)
 	}
 }
 
-// TestDeadConnections guards against a closed connection that is used, and a
-// changed address that leaves connections to the old one.
+// TestDeadConnections guards against handing out a dead connection, and against
+// connections to a server's old address that stay open.
 func TestDeadConnections(t *testing.T) {
 	d := &dialer{}
 	p := newPool(d, 2)
-	held := acquire(t, p, "w")
-	held.Conn.(*conn).dead = true
-	p.Release("s", held)
+	pooledConn := acquire(t, p, "w")
+	pooledConn.Conn.(*conn).dead = true
+	p.Release("s", pooledConn)
 	if next := acquire(t, p, "w"); !next.Alive() {
-		t.Error("a dead connection was given out")
+		t.Error("a dead connection was handed out")
 	} else {
 		p.SetServers(time.Now(), []pool.Server{{Address: "b", ID: "s", Idle: 2, Limit: 2}})
 		p.Release("s", next)
@@ -165,10 +166,11 @@
 	}
 }
 
-// TestPriority guards against a request that waits behind less urgent ones.
+// TestPriority guards against a request that waits behind requests of lower
+// priority.
 func TestPriority(t *testing.T) {
 	p := newPool(&dialer{}, 1)
-	held := acquire(t, p, "w")
+	pooledConn := acquire(t, p, "w")
 	order := make(chan int, 3)
 	var waiting sync.WaitGroup
 	for n, priority := range []int{2, 1, 2} {
@@ -184,7 +186,7 @@
 		for p.Counts("s").Waiting <= n {
 		}
 	}
-	p.Release("s", held)
+	p.Release("s", pooledConn)
 	waiting.Wait()
 	close(order)
 	var got []int
--- a/pool/share.go
+++ b/pool/share.go
@@ -8,26 +8,32 @@
 )
 
 const (
-	// minConnections lets a transaction and a statement run side by side.
+	// minConnections allows a transaction and a single statement to run at the same
+	// time.
 	minConnections = 2
-	// connectionPart is the part of the budget that all instances use together.
-	// The rest is for status queries, and for the time after a loss of power:
-	// a server counts connections whose far end is gone for 3 s more.
-	connectionPart = 0.6
+	// sharedFraction is the fraction of a server's connection budget that is
+	// divided among the instances. The rest is for status queries, and for
+	// connections of instances that lost power: the server counts them for 3 s
+	// more.
+	sharedFraction = 0.6
 )
 
-// ConnectionLimits returns how many connections to one server this instance may hold and
-// how many of them idle, of the budget over all live instances. Part is its part
-// of all demand. Where the budget has less than two connections for each, one
-// that is not in use takes the place of another instance's; so the first
-// instances by rendezvous hashing keep idle ones, and the others none.
-func ConnectionLimits(budget int, part float64, self fleet.InstanceID, live []fleet.InstanceID, server fleet.ServerID) (limit, idle int) {
+// ConnectionLimits returns how many connections to one server this instance may
+// open, and how many of them it may keep idle. Budget is the number of connections
+// for all live instances together, or zero if none is configured. DemandFraction
+// is this instance's fraction of the total demand.
+//
+// If its fraction of the budget is less than minConnections, it may still open
+// that many. Idle connections would then take the places of other instances, so
+// there are only as many as the budget allows, and rendezvous hashing selects the
+// instances that may keep one more than the others.
+func ConnectionLimits(budget int, demandFraction float64, self fleet.InstanceID, live []fleet.InstanceID, server fleet.ServerID) (limit, idle int) {
 	if budget <= 0 {
 		return minConnections, minConnections
 	}
-	shared := connectionPart * float64(budget)
-	if part*shared >= minConnections {
-		limit = int(math.Round(part * shared))
+	shared := sharedFraction * float64(budget)
+	if demandFraction*shared >= minConnections {
+		limit = int(math.Round(demandFraction * shared))
 		return limit, limit
 	}
 	idle = int(shared) / len(live)
--- a/pool/share_test.go
+++ b/pool/share_test.go
@@ -8,10 +8,10 @@
 	"github.com/nutmegpier/nutmegpier/pool"
 )
 
-// TestConnectionLimits guards against instances that together keep more idle connections
-// than a server takes, or so many that nobody else can open one: with 68
-// instances and 47 connections, each that kept one shut others out, and half of
-// all requests were refused.
+// TestConnectionLimits guards against instances that together keep more idle
+// connections than a server accepts, or so many that no other instance can open
+// one. With 68 instances and 47 connections, each instance that kept an idle
+// connection shut out others, and half of all requests were refused.
 func TestConnectionLimits(t *testing.T) {
 	for _, test := range []struct {
 		instances, budget int
@@ -37,8 +37,8 @@
 					}
 					kept += idle
 				}
-				// The rest is for requests and for connections that a server
-				// counts although their far end is gone.
+				// The rest is for requests, and for connections that the server
+				// still counts although the client is gone.
 				if float64(kept) > 0.75*float64(test.budget) {
 					t.Errorf("server %s: %d idle connections of %d", server, kept, test.budget)
 				}
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestConnectionLimitsWithoutBudget guards against a database without a stated budget that
-// gets no connections.
+// TestConnectionLimitsWithoutBudget guards against a database without a configured
+// budget that gets no connections.
 func TestConnectionLimitsWithoutBudget(t *testing.T) {
 	if limit, idle := pool.ConnectionLimits(0, 1, "a", []fleet.InstanceID{"a"}, "s"); limit < 1 || idle < 1 {
 		t.Errorf("%d connections, %d idle", limit, idle)
--- a/session/error.go
+++ b/session/error.go
@@ -8,33 +8,37 @@
 // Kind classifies an Error.
 type Kind string
 
-// Kinds of errors. The comment says what a caller may conclude.
+// Kinds of errors. Each comment says what the caller may assume about the request.
 const (
-	// KindAborted means that the transaction was rolled back: nothing is kept.
+	// KindAborted means that the transaction was rolled back and had no effect.
 	KindAborted Kind = "Aborted"
-	// KindBusy means that the request did not run and may be sent again.
+	// KindBusy means that the request did not run and may be retried.
 	KindBusy Kind = "Busy"
-	// KindFailed means that the backend server ran the statement and refused it.
+	// KindFailed means that the backend server executed the statement and returned
+	// an error.
 	KindFailed Kind = "Failed"
-	// KindLagging means that no reachable log is recent enough: not run.
+	// KindLagging means that no reachable server has replicated far enough. The
+	// request did not run.
 	KindLagging Kind = "Lagging"
-	// KindMalformed means that the statement isn't accepted in this state.
+	// KindMalformed means that the statement is invalid or not allowed in the
+	// session's current state.
 	KindMalformed Kind = "Malformed"
-	// KindNoDatabase means that no route has the name of the database.
+	// KindNoDatabase means that no route exists for the database name.
 	KindNoDatabase Kind = "NoDatabase"
-	// KindNoStatement means that no statement of that name is prepared.
+	// KindNoStatement means that no prepared statement has that name.
 	KindNoStatement Kind = "NoStatement"
-	// KindReadOnly means that the server accepts no write: not run.
+	// KindReadOnly means that the server or transaction doesn't accept writes. The
+	// request did not run.
 	KindReadOnly Kind = "ReadOnly"
-	// KindTimeout means that the statement ran into its timeout. It may have run.
+	// KindTimeout means that the statement timed out. It may have run.
 	KindTimeout Kind = "Timeout"
-	// KindUnauthorized means that the key belongs to no workspace.
+	// KindUnauthorized means that the key isn't accepted for any workspace.
 	KindUnauthorized Kind = "Unauthorized"
-	// KindUnknown means that the outcome of a write isn't known.
+	// KindUnknown means that a write may or may not have taken effect.
 	KindUnknown Kind = "Unknown"
 )
 
-// NotRun reports whether the kind promises that nothing of the attempt is kept.
+// NotRun reports whether the kind guarantees that the attempt had no effect.
 func (k Kind) NotRun() bool {
 	switch k {
 	case KindAborted, KindBusy, KindLagging, KindReadOnly:
@@ -44,20 +48,22 @@
 	}
 }
 
-// Error is the error type of this package. Routers and connections return it,
-// and the caller's protocol turns it into an answer.
+// Error is the error type of this package. Implementations of Router and
+// AccessController return it too. The protocol front end translates it into an
+// error response.
 type Error struct {
-	// Err is the cause, shown to the caller. It never holds a key.
+	// Err is the cause. It is shown to the caller and must not contain keys.
 	Err error
-	// Kind says what the caller may conclude.
+	// Kind says what the caller may assume about the request.
 	Kind Kind
 	// Op is the operation that failed.
 	Op string
-	// RetryAfter is the time after which a retry can succeed, or zero.
+	// RetryAfter is how long to wait before a retry can succeed, or zero if it
+	// isn't known.
 	RetryAfter time.Duration
 }
 
-// Error returns the text of the error.
+// Error returns the operation, the kind and the cause as text.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("session: %s: %s", e.Op, e.Kind)
--- a/session/fakes_test.go
+++ b/session/fakes_test.go
@@ -8,89 +8,93 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// begin is when the tests begin.
-var begin = time.Unix(1_000_000, 0)
-
-// world is a gate, router and observer in memory, with a clock that moves only
-// when the session pauses.
-type world struct {
-	admitted int
-	ended    []session.Completion
-	now      time.Time
-	// onAdmit runs while an operation waits for its admission.
-	onAdmit   func()
-	overRate  bool
-	released  int
-	route     sheet.Route
-	servers   []*server
-	withdrawn bool
-}
-
-func newWorld(servers ...*server) *world {
-	return &world{
-		now:     begin,
+// testStart is the initial time of the fake clock.
+var testStart = time.Unix(1_000_000, 0)
+
+// environment is an in-memory access controller, router and observer. Its
+// clock advances only when the session sleeps.
+type environment struct {
+	admitted  int
+	completed []session.Completion
+	now       time.Time
+	// onAdmit, if set, is called at the start of each admission.
+	onAdmit      func()
+	overRate     bool
+	released     int
+	route        sheet.Route
+	servers      []*server
+	keyWithdrawn bool
+}
+
+func newEnvironment(servers ...*server) *environment {
+	return &environment{
+		now:     testStart,
 		route:   sheet.Route{Consistency: sheet.ConsistencyPrimary, Database: "orders", Group: "g", StatementTimeout: 800},
 		servers: servers,
 	}
 }
 
-func (w *world) config() session.Config {
+func (e *environment) config() session.Config {
 	return session.Config{
-		Clock: func() time.Time { return w.now }, AccessController: w, Jitter: func() float64 { return 0.5 }, Observer: w,
-		Sleep: func(span time.Duration) { w.now = w.now.Add(span) }, Router: w,
+		Clock: func() time.Time { return e.now }, AccessController: e, Jitter: func() float64 { return 0.5 }, Observer: e,
+		Sleep: func(span time.Duration) { e.now = e.now.Add(span) }, Router: e,
 	}
 }
 
-func (w *world) open() *session.Session {
-	opened, err := session.Open(w.config(), session.Credentials{Database: "orders"})
+func (e *environment) openSession() *session.Session {
+	sess, err := session.Open(e.config(), session.Credentials{Database: "orders"})
 	if err != nil {
 		panic(err)
 	}
-	return opened
+	return sess
 }
 
-func (w *world) Admit(time.Time, fleet.WorkspaceID) *session.Error {
-	if w.onAdmit != nil {
-		w.onAdmit()
+func (e *environment) Admit(time.Time, fleet.WorkspaceID) *session.Error {
+	if e.onAdmit != nil {
+		e.onAdmit()
 	}
-	if w.overRate {
+	if e.overRate {
 		return &session.Error{Kind: session.KindBusy, RetryAfter: time.Second}
 	}
-	w.admitted++
+	e.admitted++
 	return nil
 }
 
-func (w *world) Authorize(time.Time, session.Credentials) (session.Access, *session.Error) {
-	if w.withdrawn {
+func (e *environment) Authorize(time.Time, session.Credentials) (session.Access, *session.Error) {
+	if e.keyWithdrawn {
 		return session.Access{}, &session.Error{Kind: session.KindUnauthorized}
 	}
-	return session.Access{Route: w.route, Workspace: "w"}, nil
+	return session.Access{Route: e.route, Workspace: "w"}, nil
 }
 
-func (w *world) Observe(_ time.Time, ended session.Completion) { w.ended = append(w.ended, ended) }
+func (e *environment) Observe(_ time.Time, completed session.Completion) {
+	e.completed = append(e.completed, completed)
+}
 
-func (w *world) Acquire(need session.Requirements) (session.Lease, *session.Error) {
-	for _, s := range w.servers {
-		if !need.Avoid[s.id] {
-			return &lease{server: s, world: w}, nil
+func (e *environment) Acquire(requirements session.Requirements) (session.Lease, *session.Error) {
+	for _, s := range e.servers {
+		if !requirements.Avoid[s.id] {
+			return &lease{server: s, environment: e}, nil
 		}
 	}
-	if len(w.servers) == 1 {
-		return &lease{server: w.servers[0], world: w}, nil
+	if len(e.servers) == 1 {
+		return &lease{server: e.servers[0], environment: e}, nil
 	}
 	return nil, &session.Error{Kind: session.KindLagging}
 }
 
-// server is a backend server with one connection. It keeps what it ran.
+// server is a fake backend server with one connection. It records the commands
+// that it ran.
 type server struct {
-	// deadlines are those of the runs.
+	// deadlines are the deadlines of the calls of Run.
 	deadlines []time.Time
-	// deposed makes the primary no longer the only one.
-	deposed bool
-	// fail returns how a command ends, or nil for a success.
+	// replaced makes leases report that the server may no longer be the only
+	// primary.
+	replaced bool
+	// fail returns the error of a command, or nil if it succeeds.
 	fail func(command session.Command) *session.RunError
 	id   fleet.ServerID
-	// inTransaction is true between a begin and its end.
+	// inTransaction is true from a begin to its commit or rollback.
 	inTransaction bool
 	log           fleet.LogPosition
 	onRun         func(command session.Command)
@@ -104,17 +108,17 @@
 }
 
 type lease struct {
-	server *server
-	world  *world
+	server      *server
+	environment *environment
 }
 
 func (l *lease) MinPosition() fleet.Position { return fleet.Position{} }
-func (l *lease) Exclusive(time.Time) bool    { return !l.server.deposed }
-func (l *lease) Release()                    { l.world.released++ }
+func (l *lease) Exclusive(time.Time) bool    { return !l.server.replaced }
+func (l *lease) Release()                    { l.environment.released++ }
 func (l *lease) Server() fleet.ServerID      { return l.server.id }
 func (l *lease) State() *session.ConnState   { return l.server.state }
-func (s *server) ends(k session.StatementKind) bool {
-	return k == session.StatementCommit || k == session.StatementRollback
+func (s *server) endsTransaction(kind session.StatementKind) bool {
+	return kind == session.StatementCommit || kind == session.StatementRollback
 }
 
 func (l *lease) Run(deadline time.Time, commands []session.Command) (session.Reply, *session.RunError) {
@@ -134,7 +138,7 @@
 		switch {
 		case command.Kind == session.StatementBegin || command.Kind == session.StatementBeginRead:
 			s.inTransaction = true
-		case s.ends(command.Kind):
+		case s.endsTransaction(command.Kind):
 			s.inTransaction = false
 		case command.Kind == session.StatementReset:
 			clear(s.values)
@@ -147,7 +151,7 @@
 	return reply, nil
 }
 
-// count returns how often a kind of command ran.
+// count returns the number of commands of a kind that ran.
 func (s *server) count(kind session.StatementKind) int {
 	n := 0
 	for _, ran := range s.ran {
@@ -158,7 +162,7 @@
 	return n
 }
 
-// failOnce fails the first command of a kind.
+// failOnce returns a function that fails only the first command of a kind.
 func failOnce(kind session.StatementKind, failure session.Kind) func(session.Command) *session.RunError {
 	done := false
 	return func(command session.Command) *session.RunError {
@@ -174,7 +178,7 @@
 	return session.Statement{ID: "1", Kind: kind, Text: string(kind)}
 }
 
-func kinds(result session.Result) session.Kind {
+func errorKind(result session.Result) session.Kind {
 	if result.Err == nil {
 		return ""
 	}
--- a/session/retry.go
+++ b/session/retry.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// Waits before a request is offered to another server. The first doesn't wait
-// where the answer of a replica says at once that the primary is needed.
+// Bounds of the exponential backoff between attempts, before jitter.
 const (
-	firstRepeatWait = 10 * time.Millisecond
-	maxRepeatWait   = 100 * time.Millisecond
+	initialRetryDelay = 10 * time.Millisecond
+	maxRetryDelay     = 100 * time.Millisecond
 )
 
-// Outcome says whether a request ran.
+// Outcome says whether a request took effect.
 type Outcome string
 
 // Outcomes of a request.
 const (
-	// OutcomeCommitted means that the commit is durable.
+	// OutcomeCommitted means that the request's changes are committed durably.
 	OutcomeCommitted Outcome = "Committed"
-	// OutcomeFailed means that the backend server refused the statement.
+	// OutcomeFailed means that the backend server returned an error for the
+	// statement.
 	OutcomeFailed Outcome = "Failed"
 	// OutcomeNotRun means that the request certainly had no effect.
 	OutcomeNotRun Outcome = "NotRun"
-	// OutcomeUnknown means that the request may or may not have had effect.
+	// OutcomeUnknown means that the request may or may not have had an effect.
 	OutcomeUnknown Outcome = "Unknown"
 )
 
-// Attempt is what is known of a request that one server did not serve.
+// Attempt describes an unsuccessful attempt to run a request on one server.
 type Attempt struct {
 	Deadline time.Time
-	// Delivered says that a part of the answer went to the caller.
+	// PartiallyDelivered says that part of the answer was already sent to the
+	// caller.
 	PartiallyDelivered bool
-	// Lost says that the connection ended or that the server failed.
+	// Lost says that the connection was lost or that the server returned an error.
 	Lost bool
-	// Refused says that the server proved that nothing ran.
+	// Refused says that the request certainly did not run.
 	Refused bool
-	// Repeatable says that running twice does no harm.
+	// Idempotent says that running the request twice is safe.
 	Idempotent bool
 }
 
-// MayRetry reports whether another server can be asked.
+// MayRetry reports whether the request may be sent to another server at time now.
 func (a Attempt) MayRetry(now time.Time) bool {
 	if a.PartiallyDelivered || now.After(a.Deadline) {
 		return false
@@ -45,18 +46,20 @@
 	return a.Refused || (a.Lost && a.Idempotent)
 }
 
-// LostRequest is a request whose server was lost before it answered.
+// LostRequest describes a request whose connection was lost before the server
+// answered.
 type LostRequest struct {
-	// Commits says that the request ends its transaction and keeps it.
+	// Commits says that the request commits its transaction.
 	Commits bool
 	// InTransaction says that a transaction was open.
 	InTransaction bool
-	// Writes says that the server could write.
+	// Writes says that the request or its transaction may have written.
 	Writes bool
 }
 
-// Outcome returns what the caller may be told. A server rolls back what was
-// not committed.
+// Outcome returns the outcome that can be reported to the caller. An uncommitted
+// transaction certainly has no effect, because the server rolls it back when its
+// connection ends.
 func (l LostRequest) Outcome() Outcome {
 	if l.Writes && (l.Commits || !l.InTransaction) {
 		return OutcomeUnknown
@@ -64,12 +67,14 @@
 	return OutcomeNotRun
 }
 
-// RetryDelay returns the wait before a request is offered again, counted from
-// zero. Jitter is in [0, 1).
-func RetryDelay(repeat int, jitter float64) time.Duration {
-	if repeat == 0 {
+// RetryDelay returns the delay before a request is sent to another server. Retries
+// count from zero. The first one is immediate, because a replica's answer may
+// just say that the primary is needed. Later delays double up to maxRetryDelay;
+// jitter, in [0, 1), varies the upper half of each.
+func RetryDelay(retry int, jitter float64) time.Duration {
+	if retry == 0 {
 		return 0
 	}
-	bound := min(maxRepeatWait, firstRepeatWait<<min(repeat-1, 10))
-	return bound/2 + time.Duration(jitter*float64(bound/2))
+	limit := min(maxRetryDelay, initialRetryDelay<<min(retry-1, 10))
+	return limit/2 + time.Duration(jitter*float64(limit/2))
 }
--- a/session/retry_test.go
+++ b/session/retry_test.go
@@ -7,10 +7,10 @@
 	"github.com/nutmegpier/nutmegpier/session"
 )
 
-// TestMayRetry guards against a request that runs twice although it may have
-// run, and against one that isn't offered again although it certainly did not.
+// TestMayRetry guards against retrying a request that may already have run, and
+// against giving up on one that certainly did not run.
 func TestMayRetry(t *testing.T) {
-	deadline := begin.Add(time.Second)
+	deadline := testStart.Add(time.Second)
 	for _, test := range []struct {
 		name    string
 		attempt session.Attempt
@@ -20,13 +20,13 @@
 		{name: "refused write", attempt: session.Attempt{Refused: true}, want: true},
 		{name: "lost write", attempt: session.Attempt{Lost: true}},
 		{name: "lost read", attempt: session.Attempt{Lost: true, Idempotent: true}, want: true},
-		{name: "answered in part", attempt: session.Attempt{PartiallyDelivered: true, Lost: true, Idempotent: true}},
-		{name: "too late", attempt: session.Attempt{Refused: true}, now: deadline.Add(time.Millisecond)},
+		{name: "partial answer delivered", attempt: session.Attempt{PartiallyDelivered: true, Lost: true, Idempotent: true}},
+		{name: "past the deadline", attempt: session.Attempt{Refused: true}, now: deadline.Add(time.Millisecond)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.attempt.Deadline = deadline
 			if test.now.IsZero() {
-				test.now = begin
+				test.now = testStart
 			}
 			if got := test.attempt.MayRetry(test.now); got != test.want {
 				t.Errorf("MayRepeat() = %v, want %v", got, test.want)
@@ -35,7 +35,8 @@
 	}
 }
 
-// TestLostRequestOutcome guards against an untrue "not run" after a lost server.
+// TestLostRequestOutcome guards against reporting NotRun for a request that may
+// have taken effect before its server was lost.
 func TestLostRequestOutcome(t *testing.T) {
 	for _, test := range []struct {
 		loss session.LostRequest
--- a/session/router.go
+++ b/session/router.go
@@ -7,67 +7,75 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// Requirements is what a statement or transaction asks of a server connection.
+// Requirements describe the backend connection that a statement or transaction
+// needs.
 type Requirements struct {
-	// Avoid holds servers that could not take this request.
+	// Avoid holds the servers on which this request was already tried without
+	// success.
 	Avoid map[fleet.ServerID]bool
-	// Deadline is when the caller's statement times out.
+	// Deadline is when the statement times out.
 	Deadline time.Time
-	// Own is the position of the session's last commit, or zero.
+	// LastWrite is the log position of the session's last committed write, or
+	// zero. A read must see it.
 	LastWrite fleet.Position
 	Route     sheet.Route
-	// Since is when the caller sent the statement or began the transaction.
+	// StartedAt is when the caller sent the statement or began the transaction.
+	// A read may miss commits that are newer than this time minus the route's
+	// maximum age, but no older ones.
 	StartedAt time.Time
-	// Values are those of the session. They must not be changed.
+	// Variables are the session variables. The map must not be modified.
 	Variables map[string]string
 	Workspace fleet.WorkspaceID
-	// Write asks for the primary, whatever the consistency of the route.
+	// Write requires the primary, whatever the consistency of the route.
 	Write bool
 }
 
-// Access is what a caller may do now.
+// Access is the route and workspace that a caller is authorized to use.
 type Access struct {
 	Route     sheet.Route
 	Workspace fleet.WorkspaceID
 }
 
-// AccessController decides on callers. Its errors are *Error.
+// AccessController authorizes callers and enforces rate limits.
 type AccessController interface {
-	// Admit takes one operation from the limit of the workspace.
+	// Admit counts one operation against the rate limit of the workspace. It
+	// returns an error if the limit is exceeded.
 	Admit(now time.Time, workspace fleet.WorkspaceID) *Error
-	// Check returns what a caller may do at a time.
+	// Authorize returns the access that the credentials give at time now.
 	Authorize(now time.Time, credentials Credentials) (Access, *Error)
 }
 
-// Router finds server connections.
+// Router selects backend servers and provides connections to them.
 type Router interface {
-	// Acquire returns a connection that is held until Release.
-	Acquire(need Requirements) (Lease, *Error)
+	// Acquire returns a connection that meets the requirements. It is reserved
+	// until Lease.Release.
+	Acquire(requirements Requirements) (Lease, *Error)
 }
 
-// RunError says how a command ended that did not succeed.
+// RunError describes why a command did not succeed.
 type RunError struct {
-	// Kind is KindUnknown if the connection was lost or gave no answer.
+	// Kind is KindUnknown if the connection was lost before the answer.
 	Kind Kind
-	// Text is the server's text.
+	// Text is the server's error message, or describes the connection error.
 	Text string
 }
 
-// Lease is a connection to a backend server that the session holds.
+// Lease is a backend connection that is reserved for one session.
 type Lease interface {
-	// After is the position that reads must ask for, or zero.
+	// MinPosition is the log position that the server must have applied before
+	// it answers a read, or zero.
 	MinPosition() fleet.Position
-	// Exclusive reports whether the server was certainly the only primary from
-	// when the statement was sent to now. It is always true for reads of
-	// replicas.
+	// Exclusive reports whether the server has certainly been the only primary
+	// from when the lease was acquired until now. It is always true for a lease
+	// on a replica.
 	Exclusive(now time.Time) bool
-	// Release gives the connection back.
+	// Release returns the connection to the pool.
 	Release()
-	// Run sends commands in one batch and returns the answer to the last. A
-	// command before it that fails ends the batch.
+	// Run sends the commands in one batch and returns the reply to the last one.
+	// The batch stops at the first command that fails.
 	Run(deadline time.Time, commands []Command) (Reply, *RunError)
-	// Server names the server.
+	// Server returns the ID of the server.
 	Server() fleet.ServerID
-	// State is what the connection's server keeps for the session.
+	// State returns the session state that is set on the connection.
 	State() *ConnState
 }
--- a/session/session.go
+++ b/session/session.go
@@ -11,53 +11,54 @@
 )
 
 const (
-	// maxAttempts bounds the servers that one statement is offered to: each of
-	// a group of three, and the primary once more after a change.
+	// maxAttempts bounds the attempts for one statement: one on each server of a
+	// group of three, and one more on a newly promoted primary.
 	maxAttempts = 4
-	// firstPatience is the part of a route's target latency that the first
-	// server may take for a read. Once the target is missed by half, an answer
-	// that was lost is more likely than one that is slow.
-	firstPatience = 1.5
+	// firstReadTimeoutFactor times the route's target latency is the timeout of
+	// the first attempt of a read. Once the target is exceeded by half, the answer
+	// is more likely lost than slow.
+	firstReadTimeoutFactor = 1.5
 )
 
-// Clock returns the present time.
+// Clock returns the current time.
 type Clock func() time.Time
 
-// Credentials are what a caller presents when it connects.
+// Credentials are the database and key that a caller presents when it connects.
 type Credentials struct {
 	Database fleet.GroupID
 	// Key is the digest of the caller's key.
 	Key [sha256.Size]byte
 }
 
-// Observer is told how requests end.
+// Observer is notified of completed statements, for metrics and logs.
 type Observer interface {
-	// Observe takes the end of one statement.
-	Observe(now time.Time, ended Completion)
+	// Observe is called when a read, write or commit completes, and when a begin
+	// isn't admitted.
+	Observe(now time.Time, completion Completion)
 }
 
-// Completion is how a statement ended.
+// Completion describes a completed statement.
 type Completion struct {
-	// Attempts is the number of servers that it was offered to.
+	// Attempts is the number of attempts on servers.
 	Attempts int
-	// Err is nil for a success.
+	// Err is nil if the statement succeeded.
 	Err *Error
-	// Latency is the whole time in the instance.
+	// Latency is the total time that the instance took.
 	Latency      time.Duration
 	Requirements Requirements
-	// Server is the last one that it was offered to, or empty.
+	// Server is the server of the last attempt, or empty if there was none.
 	Server    fleet.ServerID
 	Statement Statement
 }
 
-// Config is what a session depends on.
+// Config holds the dependencies of a session.
 type Config struct {
 	Clock            Clock
 	AccessController AccessController
 	// Jitter returns a random number in [0, 1).
 	Jitter   func() float64
 	Observer Observer
-	// Pause waits for a span of time.
+	// Sleep blocks for a duration.
 	Sleep  func(time.Duration)
 	Router Router
 }
@@ -66,26 +67,28 @@
 type Session struct {
 	config      Config
 	credentials Credentials
-	// lastServer ran the last statement.
-	lastServer  fleet.ServerID
-	own         fleet.Position
-	prepared    map[string]Template
-	seen        fleet.Position
-	state       State
-	transaction *transaction
-	values      map[string]string
+	// lastServer is the server of the last attempt.
+	lastServer fleet.ServerID
+	// lastWrite is the log position of the session's last committed write.
+	lastWrite fleet.Position
+	prepared  map[string]Template
+	// lastPosition is the log position in the last reply of a server.
+	lastPosition fleet.Position
+	state        State
+	transaction  *transaction
+	variables    map[string]string
 }
 
-// transaction is one that the caller began.
+// transaction is an open transaction of the caller.
 type transaction struct {
 	access Access
-	// lease is nil until the first statement, and after the transaction failed.
-	lease Lease
-	need  Requirements
-	wrote bool
+	// lease is nil until the first statement, and after the transaction ended.
+	lease        Lease
+	requirements Requirements
+	wrote        bool
 }
 
-// Open returns the session of a caller that may use the database.
+// Open authorizes the caller and returns its session.
 func Open(config Config, credentials Credentials) (*Session, *Error) {
 	if _, err := config.AccessController.Authorize(config.Clock(), credentials); err != nil {
 		return nil, err
@@ -95,16 +98,17 @@
 		credentials: credentials,
 		prepared:    map[string]Template{},
 		state:       StateIdle,
-		values:      map[string]string{},
+		variables:   map[string]string{},
 	}, nil
 }
 
-// Close ends the session. An open transaction is rolled back.
+// Close ends the session and rolls back an open transaction.
 func (s *Session) Close() {
 	s.endTransaction(false)
 }
 
-// Expire fails a transaction that was idle for too long. Nothing of it is kept.
+// ExpireTransaction rolls back a transaction that was idle for too long. It
+// then counts as failed until the caller ends it.
 func (s *Session) ExpireTransaction() {
 	if s.state == StateTransaction {
 		s.endTransaction(false)
@@ -112,15 +116,15 @@
 	}
 }
 
-// State returns the state between requests.
+// State returns the session's current state.
 func (s *Session) State() State {
 	return s.state
 }
 
-// Do answers one request.
+// Do runs one statement and returns its result.
 func (s *Session) Do(statement Statement) Result {
 	if s.state == StateFailed && statement.Kind != StatementCommit && statement.Kind != StatementRollback {
-		return s.failed(&Error{Err: errors.New("the transaction failed; end it first"), Kind: KindMalformed, Op: "run"})
+		return s.errorResult(&Error{Err: errors.New("the transaction has failed: only a commit or rollback is accepted"), Kind: KindMalformed, Op: "run"})
 	}
 	switch statement.Kind {
 	case StatementBegin, StatementBeginRead:
@@ -129,55 +133,58 @@
 		return s.commit(statement)
 	case StatementDeallocate:
 		delete(s.prepared, statement.Name)
-		return s.done()
+		return s.emptyResult()
 	case StatementExecute, StatementRead, StatementWrite:
 		return s.run(statement)
 	case StatementPrepare:
 		s.prepared[statement.Name] = statement.Template
-		return s.done()
+		return s.emptyResult()
 	case StatementRollback:
 		s.endTransaction(false)
-		return s.done()
+		return s.emptyResult()
 	case StatementSet:
-		s.setValue(statement.Name, statement.Value)
-		return s.done()
+		s.setVariable(statement.Name, statement.Value)
+		return s.emptyResult()
 	default:
-		return s.failed(&Error{Err: errors.New("unknown statement"), Kind: KindMalformed, Op: "run"})
+		return s.errorResult(&Error{Err: errors.New("unsupported kind of statement"), Kind: KindMalformed, Op: "run"})
 	}
 }
 
-// setValue replaces the map, because leases may hold the earlier one.
-func (s *Session) setValue(name, value string) {
-	s.values = maps.Clone(s.values)
-	s.values[name] = value
+// setVariable sets a session variable. It replaces the map instead of modifying
+// it, because Requirements that were passed on may refer to the earlier one.
+func (s *Session) setVariable(name, value string) {
+	s.variables = maps.Clone(s.variables)
+	s.variables[name] = value
 }
 
-func (s *Session) done() Result {
-	return Result{Position: s.seen, State: s.state}
+// emptyResult is the success of a statement that no server had to run.
+func (s *Session) emptyResult() Result {
+	return Result{Position: s.lastPosition, State: s.state}
 }
 
-func (s *Session) failed(err *Error) Result {
-	return Result{Err: err, Position: s.seen, State: s.state}
+func (s *Session) errorResult(err *Error) Result {
+	return Result{Err: err, Position: s.lastPosition, State: s.state}
 }
 
+// begin opens a transaction. The server is chosen by its first statement.
 func (s *Session) begin(statement Statement) Result {
 	now := s.config.Clock()
 	if s.state != StateIdle {
-		return s.failed(&Error{Err: errors.New("a transaction is open"), Kind: KindMalformed, Op: "begin"})
+		return s.errorResult(&Error{Err: errors.New("a transaction is already open"), Kind: KindMalformed, Op: "begin"})
 	}
 	access, err := s.admit(now)
 	if err != nil {
 		s.observe(now, s.config.Clock(), statement, Requirements{Route: access.Route, Workspace: access.Workspace}, 0, err)
-		return s.failed(err)
+		return s.errorResult(err)
 	}
-	need := s.need(now, access)
-	need.Write = statement.Kind == StatementBegin
-	s.transaction = &transaction{access: access, need: need}
+	requirements := s.requirements(now, access)
+	requirements.Write = statement.Kind == StatementBegin
+	s.transaction = &transaction{access: access, requirements: requirements}
 	s.state = StateTransaction
-	return s.done()
+	return s.emptyResult()
 }
 
-// admit checks the caller and takes one operation from its limit.
+// admit authorizes the caller and counts one operation against its rate limit.
 func (s *Session) admit(now time.Time) (Access, *Error) {
 	access, err := s.config.AccessController.Authorize(now, s.credentials)
 	if err != nil {
@@ -186,28 +193,28 @@
 	if err := s.config.AccessController.Admit(now, access.Workspace); err != nil {
 		return access, err
 	}
-	// Admission may have waited for another instance, or the process been
-	// suspended.
+	// Authorize again: admission may have waited for another instance, or the
+	// process may have been suspended, and the key may be withdrawn by now.
 	return s.config.AccessController.Authorize(s.config.Clock(), s.credentials)
 }
 
-func (s *Session) need(now time.Time, access Access) Requirements {
+func (s *Session) requirements(now time.Time, access Access) Requirements {
 	return Requirements{
 		Deadline:  now.Add(access.Route.StatementTimeout.Duration()),
-		LastWrite: s.own,
+		LastWrite: s.lastWrite,
 		Route:     access.Route,
 		StartedAt: now,
-		Variables: s.values,
+		Variables: s.variables,
 		Workspace: access.Workspace,
 	}
 }
 
-// run answers a read or write, inside or outside a transaction.
+// run runs a read or write, inside or outside a transaction.
 func (s *Session) run(statement Statement) Result {
 	start := s.config.Clock()
-	template, err := s.templateOf(statement)
+	template, err := s.preparedTemplate(statement)
 	if err != nil {
-		return s.inTransaction(start, statement, err)
+		return s.failStatement(start, statement, err)
 	}
 	if s.state == StateTransaction {
 		return s.runInTransaction(start, statement, template)
@@ -215,87 +222,90 @@
 	access, err := s.admit(start)
 	if err != nil {
 		s.observe(start, s.config.Clock(), statement, Requirements{Route: access.Route, Workspace: access.Workspace}, 0, err)
-		return s.failed(err)
+		return s.errorResult(err)
 	}
-	need := s.need(start, access)
-	need.Write = writes(statement, template)
+	requirements := s.requirements(start, access)
+	requirements.Write = isWrite(statement, template)
 	attempts := 0
-	reply, err := s.attempt(&need, &attempts, need.Write, func(lease Lease) (Reply, *Error) {
-		deadline := s.patience(need, attempts)
-		reply, err := s.runOn(lease, need, deadline, statement, template)
-		if err != nil && err.Kind == KindTimeout && deadline.Before(need.Deadline) {
+	reply, err := s.runWithRetries(&requirements, &attempts, requirements.Write, func(lease Lease) (Reply, *Error) {
+		deadline := s.attemptDeadline(requirements, attempts)
+		reply, err := s.runOn(lease, requirements, deadline, statement, template)
+		if err != nil && err.Kind == KindTimeout && deadline.Before(requirements.Deadline) {
 			err.Kind = KindUnknown
 		}
 		return reply, err
 	})
-	s.observe(start, s.config.Clock(), statement, need, attempts, err)
+	s.observe(start, s.config.Clock(), statement, requirements, attempts, err)
 	if err != nil {
-		return s.failed(err)
+		return s.errorResult(err)
 	}
-	return s.succeeded(reply)
+	return s.replyResult(reply)
 }
 
-// patience returns until when one server may take. The answer of a read may
-// be lost on its way, so the first server gets only a part of the time.
-func (s *Session) patience(need Requirements, attempts int) time.Time {
-	target := need.Route.TargetLatency.Duration()
-	if need.Write || target == 0 || attempts > 1 {
-		return need.Deadline
+// attemptDeadline returns the deadline of one attempt. The first attempt of a read
+// gets only part of the statement's time, because its answer may have been lost
+// and another server can still serve the read.
+func (s *Session) attemptDeadline(requirements Requirements, attempts int) time.Time {
+	target := requirements.Route.TargetLatency.Duration()
+	if requirements.Write || target == 0 || attempts > 1 {
+		return requirements.Deadline
 	}
-	patient := s.config.Clock().Add(time.Duration(firstPatience * float64(target)))
-	if patient.After(need.Deadline) {
-		return need.Deadline
+	deadline := s.config.Clock().Add(time.Duration(firstReadTimeoutFactor * float64(target)))
+	if deadline.After(requirements.Deadline) {
+		return requirements.Deadline
 	}
-	return patient
+	return deadline
 }
 
-func (s *Session) succeeded(reply Reply) Result {
-	s.seen = reply.Position
+// replyResult is the success of a statement that a server ran.
+func (s *Session) replyResult(reply Reply) Result {
+	s.lastPosition = reply.Position
 	return Result{Position: reply.Position, Rows: reply.Rows, Signature: reply.Signature, State: s.state}
 }
 
-// attempt offers a request to servers until one answers for good. A request
-// that writes is offered again only if it did not run.
-func (s *Session) attempt(need *Requirements, attempts *int, write bool, try func(Lease) (Reply, *Error)) (Reply, *Error) {
+// runWithRetries acquires a connection and calls run with it, and tries other
+// servers while the error allows it. If write is true, it retries only after an
+// error that proves that the request did not run.
+func (s *Session) runWithRetries(requirements *Requirements, attempts *int, write bool, run func(Lease) (Reply, *Error)) (Reply, *Error) {
 	for {
-		lease, err := s.config.Router.Acquire(*need)
+		lease, err := s.config.Router.Acquire(*requirements)
 		if err != nil {
 			return Reply{}, err
 		}
 		*attempts++
 		s.lastServer = lease.Server()
-		reply, err := try(lease)
+		reply, err := run(lease)
 		if err == nil {
 			return reply, nil
 		}
-		wait := s.repeatWait(*attempts, *need, err)
-		made := Attempt{
-			Deadline:   need.Deadline,
+		delay := s.retryDelay(*attempts, *requirements, err)
+		attempt := Attempt{
+			Deadline:   requirements.Deadline,
 			Lost:       err.Kind == KindUnknown || err.Kind == KindFailed,
 			Refused:    err.Kind.NotRun(),
 			Idempotent: !write,
 		}
-		if *attempts >= maxAttempts || !made.MayRetry(s.config.Clock().Add(wait)) {
+		if *attempts >= maxAttempts || !attempt.MayRetry(s.config.Clock().Add(delay)) {
 			return Reply{}, s.readOutcome(write, err)
 		}
 		avoid := map[fleet.ServerID]bool{lease.Server(): true}
-		maps.Copy(avoid, need.Avoid)
-		need.Avoid = avoid
-		s.config.Sleep(wait)
+		maps.Copy(avoid, requirements.Avoid)
+		requirements.Avoid = avoid
+		s.config.Sleep(delay)
 	}
 }
 
-// repeatWait returns the wait before the request is offered again. Only another
-// replica can be asked at once.
-func (s *Session) repeatWait(attempts int, need Requirements, err *Error) time.Duration {
-	if err.Kind == KindBusy || need.Write || need.Route.Consistency == sheet.ConsistencyPrimary {
+// retryDelay returns the delay before the next attempt. Only a read that can go to
+// another replica is retried without delay.
+func (s *Session) retryDelay(attempts int, requirements Requirements, err *Error) time.Duration {
+	if err.Kind == KindBusy || requirements.Write || requirements.Route.Consistency == sheet.ConsistencyPrimary {
 		return RetryDelay(attempts, s.config.Jitter())
 	}
 	return 0
 }
 
-// readOutcome turns an unknown outcome of a read into one that promises that
-// nothing is kept, because a read keeps nothing.
+// readOutcome replaces an unknown outcome of a read by KindBusy, which says that
+// the request had no effect, because a read never has one.
 func (s *Session) readOutcome(write bool, err *Error) *Error {
 	if err.Kind != KindUnknown || (LostRequest{Writes: write}).Outcome() == OutcomeUnknown {
 		return err
@@ -303,42 +313,43 @@
 	return &Error{Err: err.Err, Kind: KindBusy, Op: err.Op, RetryAfter: err.RetryAfter}
 }
 
-// runOn runs a single statement on a connection and gives it back.
-func (s *Session) runOn(lease Lease, need Requirements, deadline time.Time, statement Statement, template *Template) (Reply, *Error) {
+// runOn runs a statement outside a transaction and releases the connection.
+func (s *Session) runOn(lease Lease, requirements Requirements, deadline time.Time, statement Statement, template *Template) (Reply, *Error) {
 	defer lease.Release()
-	if err := s.align(lease, deadline, template, nil); err != nil {
+	if err := s.syncConnection(lease, deadline, template, nil); err != nil {
 		return Reply{}, err
 	}
-	command := commandOf(statement, template)
-	if !need.Write {
+	command := newCommand(statement, template)
+	if !requirements.Write {
 		command.MinPosition = lease.MinPosition()
 	}
-	if need.Write && !lease.Exclusive(s.config.Clock()) {
-		return Reply{}, &Error{Err: errors.New("the primary may have been replaced"), Kind: KindReadOnly, Op: "run"}
+	if requirements.Write && !lease.Exclusive(s.config.Clock()) {
+		return Reply{}, &Error{Err: errors.New("the primary may have been replaced; the statement was not sent"), Kind: KindReadOnly, Op: "run"}
 	}
 	reply, failure := lease.Run(deadline, []Command{command})
 	if failure != nil {
-		return Reply{}, errorOf("run", failure)
+		return Reply{}, wrapRunError("run", failure)
 	}
 	if !lease.Exclusive(s.config.Clock()) {
 		return Reply{}, &Error{Err: errors.New("the primary may have been replaced before it answered"), Kind: KindUnknown, Op: "run"}
 	}
-	if need.Write {
-		s.own = reply.Position
+	if requirements.Write {
+		s.lastWrite = reply.Position
 	}
 	return reply, nil
 }
 
-// align gives the connection the session's values, and what must follow.
-func (s *Session) align(lease Lease, deadline time.Time, template *Template, after []Command) *Error {
-	commands := append(lease.State().Sync(s.values, template), after...)
+// syncConnection brings the connection to the state that the session and the
+// template need, and runs extraCommands in the same batch.
+func (s *Session) syncConnection(lease Lease, deadline time.Time, template *Template, extraCommands []Command) *Error {
+	commands := append(lease.State().Sync(s.variables, template), extraCommands...)
 	if len(commands) == 0 {
 		return nil
 	}
 	if _, failure := lease.Run(deadline, commands); failure != nil {
-		err := errorOf("prepare connection", failure)
+		err := wrapRunError("prepare connection", failure)
 		if err.Kind == KindUnknown || err.Kind == KindTimeout {
-			// None of these commands writes, so nothing of the request has run.
+			// None of these commands writes, so the request certainly had no effect.
 			err.Kind = KindBusy
 		}
 		return err
@@ -346,37 +357,42 @@
 	return nil
 }
 
-func errorOf(op string, failure *RunError) *Error {
+// wrapRunError converts a failed command into the error of an operation.
+func wrapRunError(op string, failure *RunError) *Error {
 	return &Error{Err: errors.New(failure.Text), Kind: failure.Kind, Op: op}
 }
 
-// commandOf returns the command that runs a statement on a server.
-func commandOf(statement Statement, template *Template) Command {
+// newCommand returns the command that runs a statement on a server. For a prepared
+// statement, the name on backend connections replaces the caller's.
+func newCommand(statement Statement, template *Template) Command {
 	if template != nil {
-		statement.Name = template.serverName()
+		statement.Name = template.statementName()
 	}
 	return Command{Statement: statement}
 }
 
-func (s *Session) templateOf(statement Statement) (*Template, *Error) {
+// preparedTemplate returns the definition that an Execute refers to, and nil for
+// other statements.
+func (s *Session) preparedTemplate(statement Statement) (*Template, *Error) {
 	if statement.Kind != StatementExecute {
 		return nil, nil
 	}
 	template, known := s.prepared[statement.Name]
 	if !known {
-		return nil, &Error{Err: errors.New("no such prepared statement"), Kind: KindNoStatement, Op: "execute"}
+		return nil, &Error{Err: errors.New("the prepared statement does not exist in this session"), Kind: KindNoStatement, Op: "execute"}
 	}
 	return &template, nil
 }
 
-func writes(statement Statement, template *Template) bool {
+func isWrite(statement Statement, template *Template) bool {
 	return statement.Kind == StatementWrite || (template != nil && template.Write)
 }
 
-func (s *Session) observe(start, now time.Time, statement Statement, need Requirements, attempts int, err *Error) {
-	ended := Completion{Attempts: attempts, Err: err, Latency: now.Sub(start), Requirements: need, Statement: statement}
+// observe reports a completed statement to the observer.
+func (s *Session) observe(start, now time.Time, statement Statement, requirements Requirements, attempts int, err *Error) {
+	completion := Completion{Attempts: attempts, Err: err, Latency: now.Sub(start), Requirements: requirements, Statement: statement}
 	if attempts > 0 {
-		ended.Server = s.lastServer
+		completion.Server = s.lastServer
 	}
-	s.config.Observer.Observe(now, ended)
+	s.config.Observer.Observe(now, completion)
 }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -11,24 +11,24 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// TestRollbackEndsServerTransaction guards against a connection that is given
-// back inside a transaction, so that statements of others run in it.
+// TestRollbackEndsServerTransaction guards against releasing a connection with an
+// open transaction, in which statements of other sessions would then run.
 func TestRollbackEndsServerTransaction(t *testing.T) {
 	s := newServer("a")
-	w := newWorld(s)
-	opened := w.open()
+	env := newEnvironment(s)
+	sess := env.openSession()
 	for _, kind := range []session.StatementKind{session.StatementBegin, session.StatementWrite, session.StatementRollback} {
-		if result := opened.Do(statement(kind)); result.Err != nil {
+		if result := sess.Do(statement(kind)); result.Err != nil {
 			t.Fatalf("%s: %v", kind, result.Err)
 		}
 	}
-	if s.inTransaction || w.released != 1 {
-		t.Errorf("in a transaction: %v, released: %d; want false, 1", s.inTransaction, w.released)
+	if s.inTransaction || env.released != 1 {
+		t.Errorf("in a transaction: %v, released: %d; want false, 1", s.inTransaction, env.released)
 	}
 }
 
-// TestOutcomes guards against an untrue promise: that a request did not run
-// which may have run, or a retry of a write that may have run.
+// TestOutcomes guards against reporting that a request did not run although it
+// may have, and against retrying a write that may have run.
 func TestOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -54,8 +54,8 @@
 				}
 			}
 			s.fail = failOnce(test.kind, test.failure)
-			result := newWorld(s).open().Do(statement(test.kind))
-			if diff := cmp.Diff(test.want, kinds(result)); diff != "" {
+			result := newEnvironment(s).openSession().Do(statement(test.kind))
+			if diff := cmp.Diff(test.want, errorKind(result)); diff != "" {
 				t.Errorf("outcome (-want +got):\n%s", diff)
 			}
 			if diff := cmp.Diff(test.attempts, attempts); diff != "" {
@@ -65,25 +65,25 @@
 	}
 }
 
-// TestReplacedPrimary guards against a success for a write on a primary that
-// was replaced meanwhile, and against a commit that is still sent to it.
+// TestReplacedPrimary guards against reporting success for a write on a primary
+// that was replaced meanwhile, and against sending a commit to it.
 func TestReplacedPrimary(t *testing.T) {
 	s := newServer("a")
-	s.onRun = func(command session.Command) { s.deposed = command.Kind == session.StatementWrite }
-	if diff := cmp.Diff(session.KindUnknown, kinds(newWorld(s).open().Do(statement(session.StatementWrite)))); diff != "" {
+	s.onRun = func(command session.Command) { s.replaced = command.Kind == session.StatementWrite }
+	if diff := cmp.Diff(session.KindUnknown, errorKind(newEnvironment(s).openSession().Do(statement(session.StatementWrite)))); diff != "" {
 		t.Errorf("single write (-want +got):\n%s", diff)
 	}
 
 	s = newServer("a")
 	s.onRun = func(command session.Command) {
 		if command.Kind == session.StatementWrite {
-			s.deposed = true
+			s.replaced = true
 		}
 	}
-	opened := newWorld(s).open()
-	opened.Do(statement(session.StatementBegin))
-	opened.Do(statement(session.StatementWrite))
-	if diff := cmp.Diff(session.KindAborted, kinds(opened.Do(statement(session.StatementCommit)))); diff != "" {
+	sess := newEnvironment(s).openSession()
+	sess.Do(statement(session.StatementBegin))
+	sess.Do(statement(session.StatementWrite))
+	if diff := cmp.Diff(session.KindAborted, errorKind(sess.Do(statement(session.StatementCommit)))); diff != "" {
 		t.Errorf("commit (-want +got):\n%s", diff)
 	}
 	if s.count(session.StatementCommit) != 0 {
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestCommitWithLostAnswer guards against a commit that is said not to have
-// run, and against an unknown outcome of a transaction that only read.
+// TestCommitWithLostAnswer guards against reporting that a commit whose answer was
+// lost did not run, and against an unknown outcome of a transaction without writes.
 func TestCommitWithLostAnswer(t *testing.T) {
 	for _, test := range []struct {
 		statement session.StatementKind
@@ -103,11 +103,11 @@
 	} {
 		s := newServer("a")
 		s.fail = failOnce(session.StatementCommit, session.KindUnknown)
-		opened := newWorld(s).open()
-		opened.Do(statement(session.StatementBegin))
-		opened.Do(statement(test.statement))
-		result := opened.Do(statement(session.StatementCommit))
-		if diff := cmp.Diff(test.want, kinds(result)); diff != "" {
+		sess := newEnvironment(s).openSession()
+		sess.Do(statement(session.StatementBegin))
+		sess.Do(statement(test.statement))
+		result := sess.Do(statement(session.StatementCommit))
+		if diff := cmp.Diff(test.want, errorKind(result)); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", test.statement, diff)
 		}
 		if result.State != session.StateIdle {
@@ -116,47 +116,48 @@
 	}
 }
 
-// TestFailedTransaction guards against statements that run outside a
-// transaction which its caller believes to be open.
+// TestFailedTransaction guards against running statements on their own although
+// the caller believes its transaction to be still open.
 func TestFailedTransaction(t *testing.T) {
 	s := newServer("a")
 	s.fail = failOnce(session.StatementRead, session.KindUnknown)
-	opened := newWorld(s).open()
-	opened.Do(statement(session.StatementBegin))
-	if diff := cmp.Diff(session.KindAborted, kinds(opened.Do(statement(session.StatementRead)))); diff != "" {
-		t.Errorf("lost server (-want +got):\n%s", diff)
+	sess := newEnvironment(s).openSession()
+	sess.Do(statement(session.StatementBegin))
+	if diff := cmp.Diff(session.KindAborted, errorKind(sess.Do(statement(session.StatementRead)))); diff != "" {
+		t.Errorf("statement on a lost server (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(session.KindMalformed, kinds(opened.Do(statement(session.StatementWrite)))); diff != "" {
-		t.Errorf("statement after it (-want +got):\n%s", diff)
+	if diff := cmp.Diff(session.KindMalformed, errorKind(sess.Do(statement(session.StatementWrite)))); diff != "" {
+		t.Errorf("statement after the failure (-want +got):\n%s", diff)
 	}
 	if s.count(session.StatementWrite) != 0 {
 		t.Error("a statement of the failed transaction ran")
 	}
-	if diff := cmp.Diff(session.KindAborted, kinds(opened.Do(statement(session.StatementCommit)))); diff != "" {
+	if diff := cmp.Diff(session.KindAborted, errorKind(sess.Do(statement(session.StatementCommit)))); diff != "" {
 		t.Errorf("commit (-want +got):\n%s", diff)
 	}
 }
 
-// TestAdmission guards against a transaction that counts more than once, a
-// statement over the rate that runs, and a withdrawn key on an open session.
+// TestAdmission guards against counting a transaction more than once, running a
+// statement that exceeds the rate limit, and accepting a withdrawn key on an open
+// session.
 func TestAdmission(t *testing.T) {
 	s := newServer("a")
-	w := newWorld(s)
-	opened := w.open()
+	env := newEnvironment(s)
+	sess := env.openSession()
 	for _, kind := range []session.StatementKind{session.StatementBegin, session.StatementRead, session.StatementWrite, session.StatementCommit, session.StatementRead} {
-		opened.Do(statement(kind))
+		sess.Do(statement(kind))
 	}
-	if diff := cmp.Diff(2, w.admitted); diff != "" {
+	if diff := cmp.Diff(2, env.admitted); diff != "" {
 		t.Errorf("operations admitted (-want +got):\n%s", diff)
 	}
 	ran := len(s.ran)
-	w.overRate = true
-	result := opened.Do(statement(session.StatementRead))
-	if kinds(result) != session.KindBusy || result.Err.RetryAfter != time.Second {
+	env.overRate = true
+	result := sess.Do(statement(session.StatementRead))
+	if errorKind(result) != session.KindBusy || result.Err.RetryAfter != time.Second {
 		t.Errorf("over the rate: %+v", result.Err)
 	}
-	w.overRate, w.withdrawn = false, true
-	if diff := cmp.Diff(session.KindUnauthorized, kinds(opened.Do(statement(session.StatementWrite)))); diff != "" {
+	env.overRate, env.keyWithdrawn = false, true
+	if diff := cmp.Diff(session.KindUnauthorized, errorKind(sess.Do(statement(session.StatementWrite)))); diff != "" {
 		t.Errorf("withdrawn key (-want +got):\n%s", diff)
 	}
 	if len(s.ran) != ran {
@@ -164,30 +165,30 @@
 	}
 }
 
-// TestExpireTransaction guards against an idle transaction that keeps its connection, and
-// against a commit of it that succeeds.
+// TestExpireTransaction guards against an expired transaction that keeps its
+// connection, and against a later commit that succeeds.
 func TestExpireTransaction(t *testing.T) {
 	s := newServer("a")
-	w := newWorld(s)
-	opened := w.open()
-	opened.Do(statement(session.StatementBegin))
-	opened.Do(statement(session.StatementWrite))
-	opened.ExpireTransaction()
-	if s.inTransaction || w.released != 1 {
-		t.Error("the connection of an expired transaction was not given back")
+	env := newEnvironment(s)
+	sess := env.openSession()
+	sess.Do(statement(session.StatementBegin))
+	sess.Do(statement(session.StatementWrite))
+	sess.ExpireTransaction()
+	if s.inTransaction || env.released != 1 {
+		t.Error("the connection of an expired transaction was not released")
 	}
-	if diff := cmp.Diff(session.KindAborted, kinds(opened.Do(statement(session.StatementCommit)))); diff != "" {
+	if diff := cmp.Diff(session.KindAborted, errorKind(sess.Do(statement(session.StatementCommit)))); diff != "" {
 		t.Errorf("commit (-want +got):\n%s", diff)
 	}
 }
 
-// TestSharedConnection guards against session values and prepared statements
-// of one session that another one sees on a shared connection.
+// TestSharedConnection guards against session variables and prepared statements
+// that leak from one session to another on a shared connection.
 func TestSharedConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newServer("a")
-		w := newWorld(s)
-		sessions := []*session.Session{w.open(), w.open(), w.open()}
+		env := newEnvironment(s)
+		sessions := []*session.Session{env.openSession(), env.openSession(), env.openSession()}
 		expected := []map[string]string{{}, {}, {}}
 		prepared := map[string]bool{}
 		s.onRun = func(command session.Command) {
@@ -211,49 +212,50 @@
 				sessions[i].Do(session.Statement{ID: "1", Kind: session.StatementSet, Name: name, Value: value})
 				expected[i][name] = value
 			case 1:
-				sessions[i].Do(session.Statement{ID: "1", Kind: session.StatementPrepare, Name: name, Template: session.Template{Text: name}})
+				sessions[i].Do(session.Statement{ID: "1", Kind: session.StatementPrepare, Name: name, Template: session.Template{Body: name}})
 			case 2:
 				sessions[i].Do(session.Statement{ID: "1", Kind: session.StatementExecute, Name: name})
 			case 3:
 				sessions[i].Do(statement(session.StatementRead))
 				if diff := cmp.Diff(expected[i], s.values); diff != "" {
-					t.Fatalf("values on the connection (-want +got):\n%s", diff)
+					t.Fatalf("session variables on the connection (-want +got):\n%s", diff)
 				}
 			}
 		}
 	})
 }
 
-// TestRouteTimeout guards against a read that is tried again after its time.
+// TestRouteTimeout guards against retrying a read after the route's statement
+// timeout.
 func TestRouteTimeout(t *testing.T) {
 	s := newServer("a")
-	w := newWorld(s)
-	w.route.Consistency = sheet.ConsistencyBoundedAge
-	w.route.StatementTimeout = 20
+	env := newEnvironment(s)
+	env.route.Consistency = sheet.ConsistencyBoundedAge
+	env.route.StatementTimeout = 20
 	s.fail = func(session.Command) *session.RunError { return &session.RunError{Kind: session.KindBusy} }
-	result := w.open().Do(statement(session.StatementRead))
-	if kinds(result) == "" || w.now.Sub(begin) > 20*time.Millisecond {
-		t.Errorf("outcome %v after %v, want a refusal within the timeout", result.Err, w.now.Sub(begin))
+	result := env.openSession().Do(statement(session.StatementRead))
+	if errorKind(result) == "" || env.now.Sub(testStart) > 20*time.Millisecond {
+		t.Errorf("outcome %v after %v, want a refusal within the timeout", result.Err, env.now.Sub(testStart))
 	}
 }
 
-// TestSilentServer guards against a read whose answer was lost and that waits
-// until its timeout, and against a write that is given up early.
+// TestSilentServer guards against a read that waits for a lost answer until its
+// timeout instead of being retried, and against giving up on a write early.
 func TestSilentServer(t *testing.T) {
 	for _, test := range []struct {
 		kind session.StatementKind
 		want session.Kind
 		runs []time.Time
 	}{
-		{kind: session.StatementRead, runs: []time.Time{begin.Add(150 * time.Millisecond), begin.Add(800 * time.Millisecond)}},
-		{kind: session.StatementWrite, want: session.KindTimeout, runs: []time.Time{begin.Add(800 * time.Millisecond)}},
+		{kind: session.StatementRead, runs: []time.Time{testStart.Add(150 * time.Millisecond), testStart.Add(800 * time.Millisecond)}},
+		{kind: session.StatementWrite, want: session.KindTimeout, runs: []time.Time{testStart.Add(800 * time.Millisecond)}},
 	} {
 		s := newServer("a")
 		s.fail = failOnce(test.kind, session.KindTimeout)
-		w := newWorld(s)
-		w.route.TargetLatency = 100
-		result := w.open().Do(statement(test.kind))
-		if diff := cmp.Diff(test.want, kinds(result)); diff != "" {
+		env := newEnvironment(s)
+		env.route.TargetLatency = 100
+		result := env.openSession().Do(statement(test.kind))
+		if diff := cmp.Diff(test.want, errorKind(result)); diff != "" {
 			t.Errorf("%s: outcome (-want +got):\n%s", test.kind, diff)
 		}
 		if diff := cmp.Diff(test.runs, s.deadlines); diff != "" {
@@ -262,22 +264,23 @@
 	}
 }
 
-// TestSlowAdmission guards against a key that is withdrawn while its operation
-// waits for admission, and against a wait that no log line shows.
+// TestSlowAdmission guards against accepting a key that was withdrawn while its
+// operation waited for admission, and against a wait that isn't reported to the
+// observer and so appears in no log line.
 func TestSlowAdmission(t *testing.T) {
 	for _, kind := range []session.StatementKind{session.StatementBegin, session.StatementRead} {
 		s := newServer("a")
-		w := newWorld(s)
-		w.onAdmit = func() { w.now, w.withdrawn = w.now.Add(70*time.Millisecond), true }
-		result := w.open().Do(statement(kind))
-		if diff := cmp.Diff(session.KindUnauthorized, kinds(result)); diff != "" {
+		env := newEnvironment(s)
+		env.onAdmit = func() { env.now, env.keyWithdrawn = env.now.Add(70*time.Millisecond), true }
+		result := env.openSession().Do(statement(kind))
+		if diff := cmp.Diff(session.KindUnauthorized, errorKind(result)); diff != "" {
 			t.Errorf("%s: outcome (-want +got):\n%s", kind, diff)
 		}
 		if len(s.ran) > 0 {
 			t.Errorf("%s: %v ran", kind, s.ran)
 		}
-		if len(w.ended) != 1 || w.ended[0].Latency != 70*time.Millisecond {
-			t.Errorf("%s: observed %+v, want one that took 70 ms", kind, w.ended)
+		if len(env.completed) != 1 || env.completed[0].Latency != 70*time.Millisecond {
+			t.Errorf("%s: observed %+v, want one that took 70 ms", kind, env.completed)
 		}
 	}
 }
--- a/session/transaction.go
+++ b/session/transaction.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// rollbackBound bounds the rollback on a server connection. One that takes
-// longer is closed instead, which rolls back as well.
-const rollbackBound = 500 * time.Millisecond
+// rollbackTimeout bounds a rollback on a backend connection. After it, the
+// connection is closed, which makes the server roll back as well.
+const rollbackTimeout = 500 * time.Millisecond
 
-// runInTransaction runs one statement of a transaction. The first one chooses
-// the server, and all others run on the same connection.
+// runInTransaction runs one statement of a transaction. The first one acquires a
+// connection, and the later ones run on the same connection.
 func (s *Session) runInTransaction(start time.Time, statement Statement, template *Template) Result {
 	t := s.transaction
-	if writes(statement, template) && !t.need.Write {
-		return s.inTransaction(start, statement, &Error{Err: errors.New("the transaction only reads"), Kind: KindReadOnly, Op: "run"})
+	if isWrite(statement, template) && !t.requirements.Write {
+		return s.failStatement(start, statement, &Error{Err: errors.New("cannot write in a read-only transaction"), Kind: KindReadOnly, Op: "run"})
 	}
 	deadline := start.Add(t.access.Route.StatementTimeout.Duration())
 	attempts := 1
 	if t.lease == nil {
-		t.need.Deadline = deadline
+		t.requirements.Deadline = deadline
 		attempts = 0
 		if err := s.openTransaction(t, template, &attempts); err != nil {
-			return s.inTransaction(start, statement, err)
+			return s.failStatement(start, statement, err)
 		}
-	} else if err := s.align(t.lease, deadline, template, nil); err != nil {
-		return s.inTransaction(start, statement, &Error{Err: err.Err, Kind: KindAborted, Op: err.Op})
+	} else if err := s.syncConnection(t.lease, deadline, template, nil); err != nil {
+		return s.failStatement(start, statement, &Error{Err: err.Err, Kind: KindAborted, Op: err.Op})
 	}
 	s.lastServer = t.lease.Server()
-	reply, failure := t.lease.Run(deadline, []Command{commandOf(statement, template)})
+	reply, failure := t.lease.Run(deadline, []Command{newCommand(statement, template)})
 	if failure != nil {
-		err := errorOf("run in transaction", failure)
+		err := wrapRunError("run in transaction", failure)
 		if err.Kind != KindFailed && err.Kind != KindNoStatement {
-			// Without a commit, the server rolls back whatever has run.
+			// The transaction isn't committed, so the server rolls it back.
 			err.Kind = KindAborted
 		}
-		return s.inTransaction(start, statement, err)
+		return s.failStatement(start, statement, err)
 	}
-	t.wrote = t.wrote || writes(statement, template)
-	s.observe(start, s.config.Clock(), statement, t.need, attempts, nil)
-	return s.succeeded(reply)
+	t.wrote = t.wrote || isWrite(statement, template)
+	s.observe(start, s.config.Clock(), statement, t.requirements, attempts, nil)
+	return s.replyResult(reply)
 }
 
-// openTransaction begins the transaction on a server.
+// openTransaction acquires a connection and begins the transaction on it.
 func (s *Session) openTransaction(t *transaction, template *Template, attempts *int) *Error {
 	kind := StatementBeginRead
-	if t.need.Write {
+	if t.requirements.Write {
 		kind = StatementBegin
 	}
-	_, err := s.attempt(&t.need, attempts, false, func(lease Lease) (Reply, *Error) {
+	_, err := s.runWithRetries(&t.requirements, attempts, false, func(lease Lease) (Reply, *Error) {
 		begin := Command{Statement: Statement{Kind: kind}, MinPosition: lease.MinPosition()}
-		if t.need.Write && !lease.Exclusive(s.config.Clock()) {
+		if t.requirements.Write && !lease.Exclusive(s.config.Clock()) {
 			lease.Release()
-			return Reply{}, &Error{Err: errors.New("the primary may have been replaced"), Kind: KindReadOnly, Op: "begin"}
+			return Reply{}, &Error{Err: errors.New("the primary may have been replaced; the transaction was not begun"), Kind: KindReadOnly, Op: "begin"}
 		}
-		if err := s.align(lease, t.need.Deadline, template, []Command{begin}); err != nil {
+		if err := s.syncConnection(lease, t.requirements.Deadline, template, []Command{begin}); err != nil {
 			s.rollback(lease)
 			lease.Release()
 			return Reply{}, err
@@ -65,23 +65,23 @@
 	return err
 }
 
-// inTransaction answers with an error. Inside a transaction it fails it, so
-// that the server connection is free at once.
-func (s *Session) inTransaction(start time.Time, statement Statement, err *Error) Result {
-	need := Requirements{}
+// failStatement returns an error result. If a transaction is open, it rolls it
+// back and marks it as failed, so that the connection is released at once.
+func (s *Session) failStatement(start time.Time, statement Statement, err *Error) Result {
+	requirements := Requirements{}
 	if s.transaction != nil {
-		need = s.transaction.need
+		requirements = s.transaction.requirements
 	}
-	s.observe(start, s.config.Clock(), statement, need, 1, err)
+	s.observe(start, s.config.Clock(), statement, requirements, 1, err)
 	if s.state == StateTransaction {
 		s.endTransaction(false)
 		s.state = StateFailed
 	}
-	return s.failed(err)
+	return s.errorResult(err)
 }
 
-// commit ends the transaction. After the commit was sent, a missing answer
-// leaves the outcome unknown.
+// commit commits the transaction. If it wrote and the answer to the commit is
+// lost, the outcome is unknown.
 func (s *Session) commit(statement Statement) Result {
 	start := s.config.Clock()
 	t := s.transaction
@@ -91,25 +91,27 @@
 			kind = KindAborted
 		}
 		s.state = StateIdle
-		return s.failed(&Error{Err: errors.New("no transaction can be committed"), Kind: kind, Op: "commit"})
+		return s.errorResult(&Error{Err: errors.New("there is no open transaction to commit"), Kind: kind, Op: "commit"})
 	}
 	reply, err := s.commitOn(t, start, statement)
-	s.observe(start, s.config.Clock(), statement, t.need, 1, err)
+	s.observe(start, s.config.Clock(), statement, t.requirements, 1, err)
 	s.endTransaction(err == nil)
 	s.state = StateIdle
 	if err != nil {
-		return s.failed(err)
+		return s.errorResult(err)
 	}
 	if t.wrote {
-		s.own = reply.Position
+		s.lastWrite = reply.Position
 	}
-	return s.succeeded(reply)
+	return s.replyResult(reply)
 }
 
+// commitOn sends the commit to the server. If the transaction has run no statement
+// yet, it begins it there first.
 func (s *Session) commitOn(t *transaction, start time.Time, statement Statement) (Reply, *Error) {
 	deadline := start.Add(t.access.Route.StatementTimeout.Duration())
 	if t.lease == nil {
-		t.need.Deadline = deadline
+		t.requirements.Deadline = deadline
 		attempts := 0
 		if err := s.openTransaction(t, nil, &attempts); err != nil {
 			return Reply{}, err
@@ -117,11 +119,11 @@
 	}
 	s.lastServer = t.lease.Server()
 	if t.wrote && !t.lease.Exclusive(start) {
-		return Reply{}, &Error{Err: errors.New("the primary may have been replaced"), Kind: KindAborted, Op: "commit"}
+		return Reply{}, &Error{Err: errors.New("the primary may have been replaced; the commit was not sent"), Kind: KindAborted, Op: "commit"}
 	}
 	reply, failure := t.lease.Run(deadline, []Command{{Statement: statement}})
 	if failure != nil {
-		err := errorOf("commit", failure)
+		err := wrapRunError("commit", failure)
 		lost := err.Kind == KindUnknown || err.Kind == KindTimeout
 		if lost && (LostRequest{Commits: true, InTransaction: true, Writes: t.wrote}).Outcome() == OutcomeNotRun {
 			err.Kind = KindAborted
@@ -129,13 +131,13 @@
 		return Reply{}, err
 	}
 	if t.wrote && !t.lease.Exclusive(s.config.Clock()) {
-		return Reply{}, &Error{Err: errors.New("the primary may have been replaced before it answered"), Kind: KindUnknown, Op: "commit"}
+		return Reply{}, &Error{Err: errors.New("the primary may have been replaced before it answered; the outcome is unknown"), Kind: KindUnknown, Op: "commit"}
 	}
 	return reply, nil
 }
 
-// endTransaction gives up the transaction and its connection. Unless it was
-// committed, it is rolled back.
+// endTransaction ends the transaction and releases its connection. Unless it was
+// committed, it is rolled back first.
 func (s *Session) endTransaction(committed bool) {
 	t := s.transaction
 	s.transaction = nil
@@ -150,9 +152,9 @@
 	t.lease = nil
 }
 
-// rollback ends a transaction on a server. A failure closes the connection,
-// which rolls back as well.
+// rollback rolls back the transaction on a connection. Errors are ignored: a
+// connection whose rollback fails is closed, which rolls back as well.
 func (s *Session) rollback(lease Lease) {
-	deadline := s.config.Clock().Add(rollbackBound)
+	deadline := s.config.Clock().Add(rollbackTimeout)
 	_, _ = lease.Run(deadline, []Command{{Statement: Statement{Kind: StatementRollback}}})
 }
--- a/workspace/compare.go
+++ b/workspace/compare.go
@@ -10,22 +10,24 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Strategy is a way to keep a limit over all instances.
+// Strategy is a way to enforce a rate limit that holds over all instances.
 type Strategy string
 
 // Strategies that are compared.
 const (
-	// StrategyCentralCounter counts each request in the table.
+	// StrategyCentralCounter counts each request in a shared table.
 	StrategyCentralCounter Strategy = "CentralCounter"
-	// StrategyMovedShares lets instances move shares to peers that ask.
+	// StrategyMovedShares gives each instance a share and moves parts of it to
+	// peers that ask for more.
 	StrategyMovedShares Strategy = "MovedShares"
-	// StrategyOwnerLeases lets one instance for each workspace lease tokens in batches.
+	// StrategyOwnerLeases makes one instance the owner of each workspace, which
+	// leases tokens to the others in batches.
 	StrategyOwnerLeases Strategy = "OwnerLeases"
-	// StrategyStaticShares gives each instance the same share for good.
+	// StrategyStaticShares gives each instance a fixed equal share.
 	StrategyStaticShares Strategy = "StaticShares"
 )
 
-// Skew is how arrivals spread over the instances.
+// Skew is a distribution of the arrivals over the instances.
 type Skew string
 
 // Skews that are compared.
@@ -41,30 +43,37 @@
 )
 
 const (
-	compareInstances = 9
-	compareLeaseTime = time.Second
-	compareMovePause = 100 * time.Millisecond
-	comparePeriod    = 100 * time.Millisecond
-	compareTime      = 60 * time.Second
-	// lossBegin is when one instance dies. Its shares and the workspaces that
-	// it owns come back at lossEnd: 10 s to evict it and a lease with drift.
-	lossBegin   = 40 * time.Second
-	lossEnd     = 54 * time.Second
-	outageBegin = 20 * time.Second
-	outageEnd   = 30 * time.Second
+	compareInstances     = 9
+	compareLeaseDuration = time.Second
+	// compareEmptyPeerBackoff is how long a peer that had nothing to give isn't
+	// asked again.
+	compareEmptyPeerBackoff = 100 * time.Millisecond
+	// compareRefillInterval is how often instances ask peers for shares, and the
+	// time for which a batch of leased tokens should last.
+	compareRefillInterval = 100 * time.Millisecond
+	compareDuration       = 60 * time.Second
+	// instanceLossStart is when one instance dies. Its shares, and the workspaces
+	// that it owns, are available again at instanceLossEnd, after 10 s to evict it
+	// and a lease with clock drift.
+	instanceLossStart = 40 * time.Second
+	instanceLossEnd   = 54 * time.Second
+	// The shared table is unavailable between these times.
+	tableOutageStart = 20 * time.Second
+	tableOutageEnd   = 30 * time.Second
 )
 
-// Comparison is the result of one strategy on one skew and workspace.
+// Comparison is the result of one strategy for one skew and workspace.
 type Comparison struct {
 	Admitted int
 	Arrivals int
 	Limit    Limit
-	// OverAdmitted is the number of admissions above burst + rate·w.
+	// OverAdmitted is the number of admitted requests that exceed burst + rate·w
+	// in a window of length w.
 	OverAdmitted int
 	Skew         Skew
 	Strategy     Strategy
-	// WrongfulPercent is the part of the arrivals that was refused although a
-	// central bucket without outages admits it, in percent.
+	// WrongfulPercent is the percentage of arrivals that were refused although a
+	// central token bucket without outages admits them.
 	WrongfulPercent float64
 }
 
@@ -72,31 +81,34 @@
 type arrival struct {
 	at       time.Time
 	instance int
-	limit    int
+	// limit is the index of the workspace's limit.
+	limit int
 }
 
-// strategy decides on arrivals in the order of time.
+// strategy simulates a Strategy. Arrivals are passed in the order of their times.
 type strategy interface {
 	admit(a arrival) bool
 }
 
-// CompareStrategies runs all strategies on the same arrivals: one minute, 9
-// instances, 8 workspaces, Poisson arrivals at 90% of the rate, but at three
-// times the rate for the last workspace. The table is down for 10 s. The lost instance dies, with its callers
-// going to the next one; a negative number means that none dies. Calls
-// between instances take no time here; each costs about 2 ms in service.
-func CompareStrategies(seed uint64, lost int) []Comparison {
+// CompareStrategies simulates all strategies on the same arrivals: one minute, 9
+// instances, 8 workspaces, and Poisson arrivals at 90% of the rate limit, but at
+// three times the limit for the last workspace. The shared table is down for 10 s.
+// The instance with the index lostInstance dies, and its callers move to the next
+// one; a negative index means that none dies. Calls between instances take no time
+// in the simulation; in production each takes about 2 ms.
+func CompareStrategies(seed uint64, lostInstance int) []Comparison {
 	limits := compareLimits()
 	var results []Comparison
 	for _, skew := range []Skew{SkewEightyTwenty, SkewEqual, SkewMoving, SkewOne} {
-		arrivals := compareArrivals(seed, skew, limits, lost)
+		arrivals := compareArrivals(seed, skew, limits, lostInstance)
 		for _, name := range []Strategy{StrategyCentralCounter, StrategyMovedShares, StrategyOwnerLeases, StrategyStaticShares} {
-			results = append(results, compareOne(name, skew, limits, arrivals, lost)...)
+			results = append(results, compareStrategy(name, skew, limits, arrivals, lostInstance)...)
 		}
 	}
 	return results
 }
 
+// compareLimits returns the limits of the simulated workspaces.
 func compareLimits() []Limit {
 	limits := []Limit{{Burst: 5, Rate: 5}, {Burst: 200, Rate: 200}, {Burst: 200, Rate: 20}}
 	for len(limits) < 8 {
@@ -108,7 +120,8 @@
 	return limits
 }
 
-func compareArrivals(seed uint64, skew Skew, limits []Limit, lost int) []arrival {
+// compareArrivals returns the arrivals of all workspaces in the order of their times.
+func compareArrivals(seed uint64, skew Skew, limits []Limit, lostInstance int) []arrival {
 	random := rand.New(rand.NewPCG(seed, 0))
 	begin := time.Unix(0, 0)
 	var arrivals []arrival
@@ -119,11 +132,11 @@
 		}
 		for at := time.Duration(0); ; {
 			at += time.Duration(random.ExpFloat64() / offered * float64(time.Second))
-			if at >= compareTime {
+			if at >= compareDuration {
 				break
 			}
-			instance := place(random, skew, at)
-			if at >= lossBegin && instance == lost {
+			instance := chooseInstance(random, skew, at)
+			if at >= instanceLossStart && instance == lostInstance {
 				instance = (instance + 1) % compareInstances
 			}
 			arrivals = append(arrivals, arrival{at: begin.Add(at), instance: instance, limit: i})
@@ -133,11 +146,13 @@
 	return arrivals
 }
 
-func compareOne(name Strategy, skew Skew, limits []Limit, arrivals []arrival, lost int) []Comparison {
+// compareStrategy runs one strategy and compares its decisions with a central bucket.
+// Another bucket counts the admissions above the limit.
+func compareStrategy(name Strategy, skew Skew, limits []Limit, arrivals []arrival, lostInstance int) []Comparison {
 	begin := time.Unix(0, 0)
-	tested := newStrategy(name, begin, limits, lost)
+	tested := newStrategy(name, begin, limits, lostInstance)
 	reference := newBuckets(begin, limits)
-	check := newBuckets(begin, limits)
+	overLimitCheck := newBuckets(begin, limits)
 	results := make([]Comparison, len(limits))
 	wrongful := make([]int, len(limits))
 	for i, limit := range limits {
@@ -147,15 +162,15 @@
 		id := limits[a.limit].Workspace
 		result := &results[a.limit]
 		result.Arrivals++
-		rightful := reference.Admit(a.at, id).Admitted
+		referenceAdmits := reference.Admit(a.at, id).Admitted
 		if !tested.admit(a) {
-			if rightful {
+			if referenceAdmits {
 				wrongful[a.limit]++
 			}
 			continue
 		}
 		result.Admitted++
-		if !check.Admit(a.at, id).Admitted {
+		if !overLimitCheck.Admit(a.at, id).Admitted {
 			result.OverAdmitted++
 		}
 	}
@@ -165,7 +180,7 @@
 	return results
 }
 
-// newBuckets returns a limiter that holds all limits in full.
+// newBuckets returns a limiter that holds the whole of each limit.
 func newBuckets(begin time.Time, limits []Limit) *Limiter {
 	limiter := NewLimiter()
 	limiter.Renew(begin, begin.Add(time.Hour))
@@ -175,14 +190,15 @@
 	return limiter
 }
 
-func newStrategy(name Strategy, begin time.Time, limits []Limit, lost int) strategy {
+// newStrategy returns the simulation of a strategy.
+func newStrategy(name Strategy, begin time.Time, limits []Limit, lostInstance int) strategy {
 	switch name {
 	case StrategyCentralCounter:
 		return &centralStrategy{begin: begin, buckets: newBuckets(begin, limits), limits: limits}
 	case StrategyOwnerLeases:
-		return &ownerStrategy{begin: begin, leases: make(map[arrivalKey]*tokenLease), limits: limits, lost: lost, owner: newBuckets(begin, limits)}
+		return &ownerStrategy{begin: begin, leases: make(map[arrivalKey]*tokenLease), limits: limits, lostInstance: lostInstance, owner: newBuckets(begin, limits)}
 	}
-	moved := &sharesStrategy{begin: begin, limits: limits, lost: lost, move: name == StrategyMovedShares}
+	shares := &sharesStrategy{begin: begin, limits: limits, lostInstance: lostInstance, moveShares: name == StrategyMovedShares}
 	for range compareInstances {
 		limiter := NewLimiter()
 		limiter.Renew(begin, begin.Add(time.Hour))
@@ -192,12 +208,13 @@
 			limiter.Set(begin, limit.Workspace, given)
 			demands[i] = NewDemand(begin)
 		}
-		moved.members = append(moved.members, &sharesMember{emptyUntil: make(map[arrivalKey]time.Time), demands: demands, limiter: limiter, lookAt: begin})
+		shares.members = append(shares.members, &sharesMember{emptyUntil: make(map[arrivalKey]time.Time), demands: demands, limiter: limiter, nextCheckAt: begin})
 	}
-	return moved
+	return shares
 }
 
-func place(random *rand.Rand, skew Skew, at time.Duration) int {
+// chooseInstance returns the index of the instance at which a request arrives.
+func chooseInstance(random *rand.Rand, skew Skew, at time.Duration) int {
 	switch skew {
 	case SkewEightyTwenty:
 		if random.Float64() < 0.8 {
@@ -212,8 +229,8 @@
 	return random.IntN(compareInstances)
 }
 
-// centralStrategy asks the table for each request. It refuses while the table
-// is down, because it cannot know the count.
+// centralStrategy counts each request in the shared table. It refuses all requests
+// while the table is down, because the count isn't known.
 type centralStrategy struct {
 	begin   time.Time
 	buckets *Limiter
@@ -221,44 +238,46 @@
 }
 
 func (s *centralStrategy) admit(a arrival) bool {
-	if elapsed := a.at.Sub(s.begin); elapsed >= outageBegin && elapsed < outageEnd {
+	if elapsed := a.at.Sub(s.begin); elapsed >= tableOutageStart && elapsed < tableOutageEnd {
 		return false
 	}
 	return s.buckets.Admit(a.at, s.limits[a.limit].Workspace).Admitted
 }
 
+// arrivalKey identifies an instance and a limit by their indexes.
 type arrivalKey struct {
 	instance int
 	limit    int
 }
 
+// tokenLease is the tokens that an owner leased to one instance.
 type tokenLease struct {
 	tokens int
 	until  time.Time
 }
 
-// ownerStrategy leases tokens for a second. Tokens that are left when a lease
-// ends are lost.
+// ownerStrategy leases tokens from the owner of a workspace for
+// compareLeaseDuration. Unused tokens are lost when the lease ends.
 type ownerStrategy struct {
-	begin  time.Time
-	leases map[arrivalKey]*tokenLease
-	limits []Limit
-	lost   int
-	owner  *Limiter
+	begin        time.Time
+	leases       map[arrivalKey]*tokenLease
+	limits       []Limit
+	lostInstance int
+	owner        *Limiter
 }
 
 func (s *ownerStrategy) admit(a arrival) bool {
 	key := arrivalKey{a.instance, a.limit}
 	lease := s.leases[key]
 	if lease == nil || lease.tokens == 0 || !a.at.Before(lease.until) {
-		lease = &tokenLease{until: a.at.Add(compareLeaseTime)}
+		lease = &tokenLease{until: a.at.Add(compareLeaseDuration)}
 		s.leases[key] = lease
 		limit := s.limits[a.limit]
 		elapsed := a.at.Sub(s.begin)
-		if a.limit%compareInstances == s.lost && elapsed >= lossBegin && elapsed < lossEnd {
+		if a.limit%compareInstances == s.lostInstance && elapsed >= instanceLossStart && elapsed < instanceLossEnd {
 			return false
 		}
-		batch := int(math.Max(1, limit.Rate*comparePeriod.Seconds()))
+		batch := int(math.Max(1, limit.Rate*compareRefillInterval.Seconds()))
 		for range batch {
 			if s.owner.Admit(a.at, limit.Workspace).Admitted {
 				lease.tokens++
@@ -272,52 +291,58 @@
 	return true
 }
 
-// sharesStrategy holds a share at each instance and moves parts on demand.
+// sharesStrategy gives each instance a share. If moveShares is true, parts of it move
+// to other instances on demand.
 type sharesStrategy struct {
-	begin   time.Time
-	limits  []Limit
-	lost    int
-	members []*sharesMember
-	move    bool
-	split   bool
+	begin                   time.Time
+	limits                  []Limit
+	lostInstance            int
+	members                 []*sharesMember
+	moveShares              bool
+	lostSharesRedistributed bool
 }
 
+// sharesMember is the state of one instance.
 type sharesMember struct {
-	demands    []*Demand
+	demands []*Demand
+	// emptyUntil holds the times before which peers that had nothing to give
+	// aren't asked again.
 	emptyUntil map[arrivalKey]time.Time
 	limiter    *Limiter
-	lookAt     time.Time
+	// nextCheckAt is when the instance next asks for the shares that it lacks.
+	nextCheckAt time.Time
 }
 
 func (s *sharesStrategy) admit(a arrival) bool {
-	if s.lost >= 0 && !s.split && a.at.Sub(s.begin) >= lossEnd {
-		s.split = true
-		s.splitLost(a.at)
+	if s.lostInstance >= 0 && !s.lostSharesRedistributed && a.at.Sub(s.begin) >= instanceLossEnd {
+		s.lostSharesRedistributed = true
+		s.redistributeLostShares(a.at)
 	}
 	member := s.members[a.instance]
-	if s.move && !a.at.Before(member.lookAt) {
-		member.lookAt = a.at.Add(comparePeriod)
+	if s.moveShares && !a.at.Before(member.nextCheckAt) {
+		member.nextCheckAt = a.at.Add(compareRefillInterval)
 		for i := range s.limits {
-			s.ask(a.at, a.instance, i)
+			s.requestShares(a.at, a.instance, i)
 		}
 	}
 	id := s.limits[a.limit].Workspace
 	admitted := member.limiter.Admit(a.at, id).Admitted
 	member.demands[a.limit].Record(a.at, admitted)
-	if admitted || !s.move {
+	if admitted || !s.moveShares {
 		return admitted
 	}
-	s.ask(a.at, a.instance, a.limit)
+	s.requestShares(a.at, a.instance, a.limit)
 	return member.limiter.Admit(a.at, id).Admitted
 }
 
-// ask asks the peers one after the other, in the order of how long ago they had nothing left.
-func (s *sharesStrategy) ask(now time.Time, instance, limit int) {
+// requestShares asks the peers for what the instance lacks, one after the other. Those
+// that had nothing to give most recently are asked last.
+func (s *sharesStrategy) requestShares(now time.Time, instance, limit int) {
 	member := s.members[instance]
 	id := s.limits[limit].Workspace
 	order := make([]int, 0, compareInstances)
 	for i := range s.members {
-		if i == s.lost && now.Sub(s.begin) >= lossBegin {
+		if i == s.lostInstance && now.Sub(s.begin) >= instanceLossStart {
 			continue
 		}
 		if i != instance && !now.Before(member.emptyUntil[arrivalKey{i, limit}]) {
@@ -337,7 +362,7 @@
 		share := donor.limiter.Share(now, id)
 		given, kept := donor.demands[limit].SplitForPeer(now, share, wanted)
 		if given == (Share{}) {
-			member.emptyUntil[arrivalKey{i, limit}] = now.Add(compareMovePause)
+			member.emptyUntil[arrivalKey{i, limit}] = now.Add(compareEmptyPeerBackoff)
 			continue
 		}
 		donor.limiter.Set(now, id, kept)
@@ -345,14 +370,15 @@
 	}
 }
 
-// splitLost gives the share of the lost instance to the others, without its level.
-func (s *sharesStrategy) splitLost(now time.Time) {
+// redistributeLostShares divides the shares of the lost instance among the others,
+// without the tokens in its buckets.
+func (s *sharesStrategy) redistributeLostShares(now time.Time) {
 	for _, limit := range s.limits {
-		share := s.members[s.lost].limiter.Share(now, limit.Workspace)
+		share := s.members[s.lostInstance].limiter.Share(now, limit.Workspace)
 		share.Level = 0
 		given, _ := share.Split(1.0 / (compareInstances - 1))
 		for i, member := range s.members {
-			if i != s.lost {
+			if i != s.lostInstance {
 				member.limiter.Set(now, limit.Workspace, Merge(member.limiter.Share(now, limit.Workspace), given))
 			}
 		}
--- a/workspace/compare_test.go
+++ b/workspace/compare_test.go
@@ -6,9 +6,9 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// TestCompareStrategies guards the choice of moved shares: no strategy may
-// admit more than the limit, and moved shares refuse less wrongfully than
-// static shares and, over a table outage, than a central counter.
+// TestCompareStrategies checks the reasons for choosing moved shares: no strategy may
+// exceed the limit, and moved shares cause fewer wrongful refusals than static shares
+// and, with an outage of the shared table, than a central counter.
 func TestCompareStrategies(t *testing.T) {
 	t.Run("NoInstanceLost", func(t *testing.T) { compare(t, -1) })
 	t.Run("OneInstanceLost", func(t *testing.T) { compare(t, 1) })
@@ -30,7 +30,7 @@
 		s.over += float64(r.OverAdmitted)
 		s.over += float64(r.OverAdmitted)
 		if r.Arrivals > 2*int(60*r.Limit.Rate) {
-			// The overloaded workspace is not inside its rate.
+			// Skip the overloaded workspace, which exceeds its rate.
 			continue
 		}
 		s.arrivals += float64(r.Arrivals)
--- a/workspace/demand.go
+++ b/workspace/demand.go
@@ -6,57 +6,60 @@
 )
 
 const (
-	// demandMargin is how much more than the measured demand a share should
-	// cover, because arrivals come in clumps.
+	// demandMargin is the factor by which a share should exceed the measured
+	// demand, because arrivals come in bursts.
 	demandMargin = 1.2
-	// demandReserve is the time of own demand that the level should cover.
-	demandReserve = 100 * time.Millisecond
-	// demandWindow is the time over which arrivals are averaged.
+	// demandReserveTime is how long the tokens in the bucket should last at the
+	// instance's own demand.
+	demandReserveTime = 100 * time.Millisecond
+	// demandWindow is the time constant of the average of the arrival rate.
 	demandWindow = time.Second
 )
 
-// Demand is the recent arrival rate of one workspace at this instance.
+// Demand measures the recent arrival rate of one workspace at this instance.
 type Demand struct {
-	at      time.Time
-	starved bool
-	weight  float64
+	updatedAt    time.Time
+	lastRefused  bool
+	decayedCount float64
 }
 
-// NewDemand returns a demand without arrivals.
+// NewDemand returns a Demand without arrivals.
 func NewDemand(now time.Time) *Demand {
-	return &Demand{at: now}
+	return &Demand{updatedAt: now}
 }
 
 // Record counts one arrival.
 func (d *Demand) Record(now time.Time, admitted bool) {
 	d.decay(now)
-	d.weight++
-	d.starved = !admitted
+	d.decayedCount++
+	d.lastRefused = !admitted
 }
 
-// Rate returns the recent arrivals a second.
+// Rate returns the recent arrivals per second.
 func (d *Demand) Rate(now time.Time) float64 {
 	d.decay(now)
-	return d.weight / demandWindow.Seconds()
+	return d.decayedCount / demandWindow.Seconds()
 }
 
+// decay ages the count of arrivals up to now.
 func (d *Demand) decay(now time.Time) {
-	if now.After(d.at) {
-		d.weight *= math.Exp(-now.Sub(d.at).Seconds() / demandWindow.Seconds())
-		d.at = now
+	if now.After(d.updatedAt) {
+		d.decayedCount *= math.Exp(-now.Sub(d.updatedAt).Seconds() / demandWindow.Seconds())
+		d.updatedAt = now
 	}
 }
 
-// Need returns the share that covers the recent demand. An instance that sees
-// no requests needs nothing.
+// RequiredShare returns the share that covers the recent demand. It is zero for an
+// instance without requests.
 func (d *Demand) RequiredShare(now time.Time) Share {
 	rate := d.Rate(now) * demandMargin
-	reserve := rate * demandReserve.Seconds()
+	reserve := rate * demandReserveTime.Seconds()
 	return Share{Capacity: reserve, Level: reserve, Rate: rate}
 }
 
-// Wanted returns what is missing in the share. A share that cannot hold one
-// whole request admits nothing, so at least that much is asked for.
+// Shortfall returns by how much the share falls short of the demand. A share with a
+// capacity below one request admits nothing, so the result makes up for at least one
+// request.
 func (d *Demand) Shortfall(now time.Time, share Share) Share {
 	need := d.RequiredShare(now)
 	reserve := math.Max(1, need.Level)
@@ -67,20 +70,20 @@
 	}
 }
 
-// Starved reports whether the last arrival was refused.
+// LastRefused reports whether the last arrival was refused.
 func (d *Demand) LastRefused() bool {
-	return d.starved
+	return d.lastRefused
 }
 
-// Spare divides a share for a peer that wants these amounts. The instance
-// keeps what its own demand needs. Level moves only with as much capacity, so
-// that it fits at the peer. What could not hold one whole request is of no use
-// to this instance and is given as well.
+// SplitForPeer splits off up to the wanted amounts of a share for a peer. The instance
+// keeps what its own demand requires. The level that is given comes with as much
+// capacity, so that it fits into the peer's bucket. If the rest has a capacity below
+// one request, it is useless to this instance and is given as well.
 func (d *Demand) SplitForPeer(now time.Time, share, wanted Share) (given, kept Share) {
 	need := d.RequiredShare(now)
-	given.Rate = spare(share.Rate, wanted.Rate, need.Rate)
-	given.Level = spare(share.Level, wanted.Level, need.Level)
-	given.Capacity = math.Max(given.Level, spare(share.Capacity, wanted.Capacity, need.Capacity))
+	given.Rate = surplus(share.Rate, wanted.Rate, need.Rate)
+	given.Level = surplus(share.Level, wanted.Level, need.Level)
+	given.Capacity = math.Max(given.Level, surplus(share.Capacity, wanted.Capacity, need.Capacity))
 	kept = Share{Capacity: share.Capacity - given.Capacity, Level: share.Level - given.Level, Rate: share.Rate - given.Rate}
 	if given != (Share{}) && kept.Capacity < 1 {
 		return share, Share{}
@@ -88,7 +91,7 @@
 	return given, kept.clamped()
 }
 
-// spare returns how much of what is held can be given.
-func spare(held, wanted, need float64) float64 {
+// surplus returns how much of the held amount can be given away.
+func surplus(held, wanted, need float64) float64 {
 	return math.Max(0, math.Min(wanted, held-need))
 }
--- a/workspace/demandmeter.go
+++ b/workspace/demandmeter.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// meterWindow smooths the demand: long against the time between two requests of
-// one workspace on one instance (about half a second), so that chance moves
-// little.
-const meterWindow = 6 * time.Second
+// demandMeterWindow is the time constant of the average. It is long compared with the
+// time between two requests of one workspace on one instance (about half a second),
+// so that random variation has little effect.
+const demandMeterWindow = 6 * time.Second
 
-// demandMeter is an exponential average of requests a second.
+// demandMeter is an exponentially weighted moving average of requests per second.
 type demandMeter struct {
-	counted time.Time
-	rate    float64
+	updatedAt time.Time
+	rate      float64
 }
 
+// add counts requests at time now. Adding zero only brings the rate up to date.
 func (m *demandMeter) add(now time.Time, requests float64) {
-	if elapsed := now.Sub(m.counted); elapsed > 0 {
-		m.rate *= math.Exp(-elapsed.Seconds() / meterWindow.Seconds())
-		m.counted = now
+	if elapsed := now.Sub(m.updatedAt); elapsed > 0 {
+		m.rate *= math.Exp(-elapsed.Seconds() / demandMeterWindow.Seconds())
+		m.updatedAt = now
 	}
-	m.rate += requests / meterWindow.Seconds()
+	m.rate += requests / demandMeterWindow.Seconds()
 }
--- a/workspace/demandshare.go
+++ b/workspace/demandshare.go
@@ -1,12 +1,12 @@
 package workspace
 
-// equalPart is the part that is divided equally, whatever the demand, so that an
-// instance can serve its first requests before others know of them.
-const equalPart = 0.25
+// equalFraction is the fraction that is divided equally, regardless of demand, so that
+// an instance can serve its first requests before the others know of its demand.
+const equalFraction = 0.25
 
-// DemandShare returns the fraction of something scarce that one instance holds,
-// from its own demand and that of all instances, its own included, in requests a
-// second. The fractions of all instances add up to one.
+// DemandShare returns the fraction of a shared resource that one instance may use. Own
+// is its demand and all holds the demands of all instances, including its own, in
+// requests per second. The fractions of all instances add up to one.
 func DemandShare(own float64, all []float64) float64 {
 	if len(all) == 0 {
 		return 0
@@ -19,5 +19,5 @@
 	if sum <= 0 {
 		return equal
 	}
-	return equalPart*equal + (1-equalPart)*own/sum
+	return equalFraction*equal + (1-equalFraction)*own/sum
 }
--- a/workspace/demandshare_test.go
+++ b/workspace/demandshare_test.go
@@ -9,8 +9,8 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// TestDemandSharesAddUpToOne guards against instances that together hold more
-// than a limit although they know the same demand.
+// TestDemandSharesAddUpToOne guards against instances that know the same demands but
+// together use more than a limit.
 func TestDemandSharesAddUpToOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 80).Draw(t, "demands")
--- a/workspace/division.go
+++ b/workspace/division.go
@@ -10,87 +10,98 @@
 )
 
 const (
-	// startLevel is the time for which the first parts of a process are filled: a
-	// restart takes about as long, and nothing was admitted meanwhile. A whole
-	// burst would let a restarted instance grant it twice.
-	startLevel = time.Second
-	// extraLife is how long requests from a pool may be used: a few times the
-	// demand for which they are taken.
-	extraLife = time.Second
+	// initialFillTime is the time for which the buckets of a new process are filled
+	// at the start. A restart takes about as long, and nothing was admitted
+	// meanwhile. A full bucket would let a restarted instance grant the burst twice.
+	initialFillTime = time.Second
+	// borrowedLifetime is how long tokens from a pool can be used: a few times the
+	// span of demand for which they are taken.
+	borrowedLifetime = time.Second
 )
 
-// DistributedLimiter admits operations of workspaces on one instance: from its share of
-// each limit, and from what it took from the pools. It also holds the pools that
-// this instance owns. It is safe for concurrent use.
+// DistributedLimiter enforces this instance's part of the rate limits that hold over
+// all instances. A part of each limit is divided into equal direct shares, one for
+// each instance. The rest is in pools, each owned by one instance, from which all
+// instances take tokens on demand. One token admits one request.
+//
+// It admits requests from the direct share and from tokens that were taken from
+// pools, and it holds the pools that this instance owns. It is safe for concurrent
+// use.
 type DistributedLimiter struct {
 	mu     sync.Mutex
 	demand map[fleet.WorkspaceID]*demandMeter
-	// directory knows the pools of each workspace that has a limit.
+	// directory holds the pool owners of each workspace that has a limit.
 	directory map[fleet.WorkspaceID]*poolDirectory
-	extra     map[fleet.WorkspaceID]extraRequests
-	// limiter holds the own shares, pools what this instance gives to all.
+	// borrowed holds the tokens that were taken from pools.
+	borrowed map[fleet.WorkspaceID]borrowedTokens
+	// limiter holds this instance's direct shares, and pools the pools that it owns.
 	limiter *Limiter
 	pools   *Limiter
 	self    fleet.InstanceID
-	// started is true once the instance has held a part.
-	started bool
-	// limits and members are those of the last call of Divide, at dividedAt.
+	// hasHeldShare is true once the instance has held a share of the limits.
+	hasHeldShare bool
+	// limits and members are the arguments of the last call of Divide, at
+	// dividedAt.
 	limits    []Limit
 	members   []Member
 	dividedAt time.Time
-	// changeAt is when the parts change next by the age of a member, or zero.
-	changeAt time.Time
+	// nextChangeAt is when the shares change next because of the age of a member,
+	// or zero.
+	nextChangeAt time.Time
 }
 
-// extraRequests are requests from a pool that are not used yet.
-type extraRequests struct {
-	count float64
-	until time.Time
+// borrowedTokens are unused tokens from a pool, which expire.
+type borrowedTokens struct {
+	count     float64
+	expiresAt time.Time
 }
 
-// NewDistributedLimiter returns a division of one instance, which admits nothing yet.
+// NewDistributedLimiter returns a limiter for one instance. It admits nothing until
+// Divide and Renew were called.
 func NewDistributedLimiter(self fleet.InstanceID) *DistributedLimiter {
 	return &DistributedLimiter{
 		demand:    map[fleet.WorkspaceID]*demandMeter{},
 		directory: map[fleet.WorkspaceID]*poolDirectory{},
-		extra:     map[fleet.WorkspaceID]extraRequests{},
+		borrowed:  map[fleet.WorkspaceID]borrowedTokens{},
 		limiter:   NewLimiter(),
 		pools:     NewLimiter(),
 		self:      self,
 	}
 }
 
-// Add keeps requests that were taken from a pool. Those that are not used soon
-// are lost, so that they do not add up to a second burst.
-func (d *DistributedLimiter) Add(now time.Time, id fleet.WorkspaceID, requests float64) {
+// Add adds tokens that were taken from a pool. They expire after
+// borrowedLifetime, so that unused ones don't add up to a second burst.
+func (d *DistributedLimiter) Add(now time.Time, id fleet.WorkspaceID, tokens float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if left := d.extra[id]; now.Before(left.until) {
-		requests += left.count
+	if left := d.borrowed[id]; now.Before(left.expiresAt) {
+		tokens += left.count
 	}
-	d.extra[id] = extraRequests{count: requests, until: now.Add(extraLife)}
+	d.borrowed[id] = borrowedTokens{count: tokens, expiresAt: now.Add(borrowedLifetime)}
 }
 
-// Admit takes one operation of a workspace.
+// Admit decides on one request of a workspace. It uses this instance's share first,
+// and then borrowed tokens.
 func (d *DistributedLimiter) Admit(now time.Time, id fleet.WorkspaceID) Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.refresh(now)
+	d.refreshShares(now)
 	decision := d.limiter.Admit(now, id)
-	if !decision.Admitted && d.takeExtra(now, id) {
+	if !decision.Admitted && d.takeBorrowed(now, id) {
 		return Decision{Admitted: true}
 	}
 	return decision
 }
 
-// Count notes that an operation of a workspace was asked for.
+// RecordDemand counts one request of a workspace, whether it is admitted or not.
 func (d *DistributedLimiter) RecordDemand(now time.Time, id fleet.WorkspaceID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.meter(now, id).add(now, 1)
 }
 
-// Demand returns the demand of one workspace in requests a second.
+// Demand returns the demand of one workspace at this instance, in requests per
+// second.
 func (d *DistributedLimiter) Demand(now time.Time, id fleet.WorkspaceID) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,71 +110,75 @@
 	return meter.rate
 }
 
-// Divide sets the shares and pools from the live instances, this one included.
-// All instances compute them from the same rows, so that they add up to no more
-// than the limits. Parts are left to a joining instance before it takes them.
+// Divide sets the shares and pools of this instance. Members are the live instances,
+// including this one. All instances compute their shares from the same membership
+// rows, so the shares add up to no more than the limits. The other instances give
+// up the share of a joining instance before it starts to use it.
 func (d *DistributedLimiter) Divide(now time.Time, limits []Limit, members []Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.limits, d.members, d.dividedAt = limits, members, now
-	d.apply(now)
-	d.forget()
+	d.setShares(now)
+	d.removeUnlimited()
 }
 
-// refresh divides anew if the age of a member has changed the parts.
-func (d *DistributedLimiter) refresh(now time.Time) {
-	if !d.changeAt.IsZero() && !now.Before(d.changeAt) {
-		d.apply(now)
+// refreshShares recomputes the shares if the age of a member has changed them.
+func (d *DistributedLimiter) refreshShares(now time.Time) {
+	if !d.nextChangeAt.IsZero() && !now.Before(d.nextChangeAt) {
+		d.setShares(now)
 	}
 }
 
-// apply sets the parts by the ages of the members at a time.
-func (d *DistributedLimiter) apply(now time.Time) {
+// setShares computes the shares and pools from the members' ages at time now.
+func (d *DistributedLimiter) setShares(now time.Time) {
 	members := make([]Member, len(d.members))
 	for i, m := range d.members {
 		members[i] = Member{Age: m.Age + now.Sub(d.dividedAt), Instance: m.Instance, Phase: m.Phase}
 	}
-	d.changeAt = time.Time{}
-	if wait := nextChange(members); wait > 0 {
-		d.changeAt = now.Add(wait)
+	d.nextChangeAt = time.Time{}
+	if wait := timeToNextChange(members); wait > 0 {
+		d.nextChangeAt = now.Add(wait)
 	}
-	holding := holders(members, func(m Member) bool { return m.holds(0) })
-	mayHold := holders(members, Member.mayHold)
-	takesPart := slices.Contains(holding, d.self)
-	// Others have admitted for an instance that joins them; nobody has for one
-	// that restarts, or when all do.
-	fill := takesPart && !d.started && !d.joined(members)
-	newLimitsFill := d.started
-	d.started = d.started || takesPart
+	holding := holders(members, func(m Member) bool { return m.holdsAfter(0) })
+	mayHoldSoon := holders(members, Member.mayHoldSoon)
+	holdsShare := slices.Contains(holding, d.self)
+	// The buckets of a restarted instance start partly filled, also if all
+	// instances restart, because nobody has admitted requests on its share. Those of
+	// an instance that joins running ones start empty: the others have used its
+	// share so far.
+	fill := holdsShare && !d.hasHeldShare && !d.holdsByAge(members)
+	fillNewLimits := d.hasHeldShare
+	d.hasHeldShare = d.hasHeldShare || holdsShare
 	for _, limit := range d.limits {
 		owners := PoolOwners(limit.Workspace, holding)
 		pooled := PooledFraction(limit, len(members))
 		direct, pool := 0.0, 0.0
-		if takesPart {
+		if holdsShare {
 			direct = (1 - pooled) / float64(len(members))
 		}
-		if slices.Contains(owners, d.self) && slices.Contains(PoolOwners(limit.Workspace, mayHold), d.self) {
+		if slices.Contains(owners, d.self) && slices.Contains(PoolOwners(limit.Workspace, mayHoldSoon), d.self) {
 			pool = pooled / float64(len(owners))
 		}
-		directory, fillThis := d.directory[limit.Workspace], fill
+		directory, fillLimit := d.directory[limit.Workspace], fill
 		if directory == nil {
 			directory = &poolDirectory{}
 			d.directory[limit.Workspace] = directory
-			fillThis = fillThis || newLimitsFill
+			fillLimit = fillLimit || fillNewLimits
 		}
 		directory.setOwners(d.self, owners)
-		setShare(d.limiter, now, limit, direct, fillThis)
-		setShare(d.pools, now, limit, pool, fillThis)
+		setShare(d.limiter, now, limit, direct, fillLimit)
+		setShare(d.pools, now, limit, pool, fillLimit)
 	}
 }
 
-// joined reports whether this instance holds parts because of its age.
-func (d *DistributedLimiter) joined(members []Member) bool {
+// holdsByAge reports whether this instance is not in PhaseHolding and so holds a
+// share only because of the age of its row.
+func (d *DistributedLimiter) holdsByAge(members []Member) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Instance == d.self && m.Phase != PhaseHolding })
 }
 
-// forget drops the workspaces that have no limit any more.
-func (d *DistributedLimiter) forget() {
+// removeUnlimited removes the state of workspaces that no longer have a limit.
+func (d *DistributedLimiter) removeUnlimited() {
 	known := make(map[fleet.WorkspaceID]bool, len(d.limits))
 	for _, limit := range d.limits {
 		known[limit.Workspace] = true
@@ -178,29 +193,30 @@
 	}
 }
 
-// Give takes requests from the own pool of a workspace for an instance that
-// wants them. Without any, the time to come back is given.
-func (d *DistributedLimiter) TakeFromPool(now time.Time, id fleet.WorkspaceID, want float64) (given float64, retryAfter time.Duration) {
+// TakeFromPool takes up to want tokens from the pool of a workspace that this
+// instance owns, for an instance that asks for them. If there are none, it returns
+// the time after which a retry can succeed.
+func (d *DistributedLimiter) TakeFromPool(now time.Time, id fleet.WorkspaceID, want float64) (taken float64, retryAfter time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.refresh(now)
+	d.refreshShares(now)
 	return d.pools.Take(now, id, want)
 }
 
-// Owners returns the owners of the pools of a workspace in the order in which
-// to ask them. It returns none if the instance may not admit.
+// PoolOwners returns the owners of the pools of a workspace in the order in which
+// to ask them. It returns none if this instance isn't allowed to admit requests.
 func (d *DistributedLimiter) PoolOwners(now time.Time, id fleet.WorkspaceID) []PoolOwner {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.refresh(now)
-	known := d.directory[id]
-	if known == nil || !now.Before(d.limiter.ValidUntil()) {
+	d.refreshShares(now)
+	entry := d.directory[id]
+	if entry == nil || !now.Before(d.limiter.ValidUntil()) {
 		return nil
 	}
-	return known.inTurn(d.self)
+	return entry.askOrder(d.self)
 }
 
-// Renew sets the end of the time for which the instance may admit.
+// Renew sets the time until which the instance may admit requests.
 func (d *DistributedLimiter) Renew(now, validUntil time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -208,7 +224,8 @@
 	d.pools.Renew(now, validUntil)
 }
 
-// TotalDemand returns the demand of all workspaces in requests a second.
+// TotalDemand returns the demand of all workspaces at this instance, in requests per
+// second.
 func (d *DistributedLimiter) TotalDemand(now time.Time) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -220,53 +237,54 @@
 	return total
 }
 
-// SkipOwner keeps one owner's pool from being asked for a while.
+// SkipOwner marks one owner's pool of a workspace as not to be asked until a time.
 func (d *DistributedLimiter) SkipOwner(id fleet.WorkspaceID, owner fleet.InstanceID, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.directory[id]
-	if known == nil {
+	entry := d.directory[id]
+	if entry == nil {
 		return
 	}
-	for i := range known.owners {
-		if known.owners[i].Instance == owner {
-			known.owners[i].SkipUntil = until
+	for i := range entry.owners {
+		if entry.owners[i].Instance == owner {
+			entry.owners[i].SkipUntil = until
 		}
 	}
 }
 
+// meter returns the demand meter of a workspace and creates it if necessary.
 func (d *DistributedLimiter) meter(now time.Time, id fleet.WorkspaceID) *demandMeter {
 	meter := d.demand[id]
 	if meter == nil {
-		meter = &demandMeter{counted: now}
+		meter = &demandMeter{updatedAt: now}
 		d.demand[id] = meter
 	}
 	return meter
 }
 
-// setShare sets a fraction of a limit, which begins filled for startLevel or with
-// what was minted before.
+// setShare gives a limiter a fraction of a limit. If fill is true, the bucket starts
+// with the tokens of initialFillTime, and otherwise it keeps its level.
 func setShare(limiter *Limiter, now time.Time, limit Limit, fraction float64, fill bool) {
 	share := Share{}
 	if fraction > 0 && limit.Rate > 0 {
-		// A bucket under one request would never admit any.
+		// A bucket with a capacity below one token would never admit a request.
 		share = Share{Capacity: math.Max(1, limit.Burst*fraction), Rate: limit.Rate * fraction}
 	}
 	if fill {
-		share.Level = math.Min(share.Capacity, fraction+share.Rate*startLevel.Seconds())
+		share.Level = math.Min(share.Capacity, fraction+share.Rate*initialFillTime.Seconds())
 	} else {
 		share.Level = limiter.Share(now, limit.Workspace).Level
 	}
 	limiter.Set(now, limit.Workspace, share)
 }
 
-// takeExtra admits one request from what was taken from pools.
-func (d *DistributedLimiter) takeExtra(now time.Time, id fleet.WorkspaceID) bool {
-	extra := d.extra[id]
-	if extra.count < 1 || !now.Before(extra.until) || !now.Before(d.limiter.ValidUntil()) {
+// takeBorrowed uses one borrowed token. It reports false if there is none.
+func (d *DistributedLimiter) takeBorrowed(now time.Time, id fleet.WorkspaceID) bool {
+	borrowed := d.borrowed[id]
+	if borrowed.count < 1 || !now.Before(borrowed.expiresAt) || !now.Before(d.limiter.ValidUntil()) {
 		return false
 	}
-	extra.count--
-	d.extra[id] = extra
+	borrowed.count--
+	d.borrowed[id] = borrowed
 	return true
 }
--- a/workspace/divisionmodel_test.go
+++ b/workspace/divisionmodel_test.go
@@ -11,142 +11,148 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// The times of package gateway and primacy, by which instances see each other.
+// The intervals and timeouts of packages gateway and primacy with which instances
+// learn of each other.
 const (
-	modelBeat    = 2100 * time.Millisecond
-	modelLook    = 1500 * time.Millisecond
-	modelLease   = 4500 * time.Millisecond
-	modelSilence = 4700 * time.Millisecond
-	modelTick    = 50 * time.Millisecond
-	modelWindow  = 5 * time.Second
+	modelHeartbeatInterval = 2100 * time.Millisecond
+	modelReadInterval      = 1500 * time.Millisecond
+	modelLease             = 4500 * time.Millisecond
+	modelRowExpiry         = 4700 * time.Millisecond
+	modelTick              = 50 * time.Millisecond
+	modelWindow            = 5 * time.Second
 )
 
-// modelRow is what the store holds of an instance.
+// modelRow is the membership row of an instance in the store.
 type modelRow struct {
-	at, since time.Time
-	phase     workspace.Phase
+	writtenAt, presentSince time.Time
+	phase                   workspace.Phase
 }
 
-// modelInstance is one instance. It acts only while it is neither dead nor
-// paused, and reaches the store only while it is not cut off.
+// modelInstance is one instance. It runs only while it is neither stopped nor paused,
+// and can access the store only while it is not disconnected from it.
 type modelInstance struct {
-	division      *workspace.DistributedLimiter
+	limiter       *workspace.DistributedLimiter
 	participation *workspace.Participation
 	id            fleet.InstanceID
 
-	cutUntil, deadUntil, deafUntil, pausedUntil time.Time
+	disconnectedUntil, stoppedUntil, readsFailUntil, pausedUntil time.Time
 
-	nextBeat, nextLook time.Time
-	presence, readAt   time.Time
-	// since is from when the own row has been there without a gap.
-	since time.Time
+	nextHeartbeat, nextRead time.Time
+	lastHeartbeat, readAt   time.Time
+	// presentSince is since when its row has existed without expiring.
+	presentSince time.Time
 }
 
-// divisionModel is a store, instances, and callers that ask each of them for
-// more than a limit allows.
+// divisionModel simulates a store, instances, and callers that send each instance more
+// requests than the limit allows.
 type divisionModel struct {
 	admitted  []time.Time
 	instances []*modelInstance
 	limit     workspace.Limit
 	rows      map[fleet.InstanceID]modelRow
 
-	// Deliberate faults: parts of limits at once after joining, and admission
-	// without a recent look at the rows.
-	joinAtOnce, stale bool
+	// Deliberate faults: holding shares immediately after joining, and admitting
+	// requests without a recent read of the membership rows.
+	joinImmediately, admitOnStaleRows bool
 }
 
-func (i *modelInstance) acts(now time.Time) bool {
-	return now.After(i.deadUntil) && now.After(i.pausedUntil)
+// isRunning reports whether the instance is neither stopped nor paused.
+func (i *modelInstance) isRunning(now time.Time) bool {
+	return now.After(i.stoppedUntil) && now.After(i.pausedUntil)
 }
 
-// restart begins a new run that knows only its own row.
+// restart starts a new process of the instance, which knows only its own row.
 func (m *divisionModel) restart(i *modelInstance, now time.Time) {
-	i.division, i.participation = workspace.NewDistributedLimiter(i.id), workspace.NewParticipation()
-	i.nextBeat, i.nextLook = now, now
-	i.presence, i.readAt, i.since = time.Time{}, time.Time{}, time.Time{}
-	if row, found := m.rows[i.id]; found && now.Sub(row.at) < modelLease {
-		i.presence, i.since = row.at, row.since
+	i.limiter, i.participation = workspace.NewDistributedLimiter(i.id), workspace.NewParticipation()
+	i.nextHeartbeat, i.nextRead = now, now
+	i.lastHeartbeat, i.readAt, i.presentSince = time.Time{}, time.Time{}, time.Time{}
+	if row, found := m.rows[i.id]; found && now.Sub(row.writtenAt) < modelLease {
+		i.lastHeartbeat, i.presentSince = row.writtenAt, row.presentSince
 		i.participation.Resume(row.phase)
 	}
 }
 
-// beat writes the own row.
-func (m *divisionModel) beat(i *modelInstance, now time.Time) {
-	if !i.presence.IsZero() && now.Sub(i.presence) >= modelLease {
+// heartbeat writes the instance's row.
+func (m *divisionModel) heartbeat(i *modelInstance, now time.Time) {
+	if !i.lastHeartbeat.IsZero() && now.Sub(i.lastHeartbeat) >= modelLease {
 		i.participation.Reset()
 		i.readAt = time.Time{}
 	}
-	i.since = i.ownSince(now)
+	i.presentSince = i.ownPresentSince(now)
 	phase, changed := i.participation.NextPhase()
-	m.rows[i.id] = modelRow{at: now, since: i.since, phase: phase}
+	m.rows[i.id] = modelRow{writtenAt: now, presentSince: i.presentSince, phase: phase}
 	i.participation.PhaseWritten(phase)
-	i.presence = now
+	i.lastHeartbeat = now
 	if changed {
-		i.nextLook = now.Add(modelTick)
+		i.nextRead = now.Add(modelTick)
 	}
 }
 
-// ownSince returns since when the own row is there if it is written now.
-func (i *modelInstance) ownSince(now time.Time) time.Time {
-	if now.Sub(i.presence) < modelLease {
-		return i.since
+// ownPresentSince returns since when the instance's row has existed if it is written
+// now.
+func (i *modelInstance) ownPresentSince(now time.Time) time.Time {
+	if now.Sub(i.lastHeartbeat) < modelLease {
+		return i.presentSince
 	}
 	return now
 }
 
+// step lets an instance read and write rows if it is time, and renews its limiter.
 func (m *divisionModel) step(i *modelInstance, now time.Time) {
-	if now.After(i.cutUntil) {
-		if !now.Before(i.nextLook) && now.After(i.deafUntil) {
-			m.look(i, now)
+	if now.After(i.disconnectedUntil) {
+		if !now.Before(i.nextRead) && now.After(i.readsFailUntil) {
+			m.readRows(i, now)
 		}
-		if !now.Before(i.nextBeat) {
-			i.nextBeat = now.Add(modelBeat)
-			m.beat(i, now)
+		if !now.Before(i.nextHeartbeat) {
+			i.nextHeartbeat = now.Add(modelHeartbeatInterval)
+			m.heartbeat(i, now)
 		}
 	}
-	until := i.presence
-	if i.readAt.Before(until) && !m.stale {
+	until := i.lastHeartbeat
+	if i.readAt.Before(until) && !m.admitOnStaleRows {
 		until = i.readAt
 	}
-	i.division.Renew(now, until.Add(modelLease))
+	i.limiter.Renew(now, until.Add(modelLease))
 }
 
-func (m *divisionModel) look(i *modelInstance, now time.Time) {
-	i.nextLook, i.readAt = now.Add(modelLook), now
+// readRows reads the membership rows and divides the limit.
+func (m *divisionModel) readRows(i *modelInstance, now time.Time) {
+	i.nextRead, i.readAt = now.Add(modelReadInterval), now
 	var others []workspace.Member
 	for _, other := range m.instances {
 		row, found := m.rows[other.id]
-		if found && other != i && now.Sub(row.at) < modelSilence {
-			others = append(others, workspace.Member{Age: now.Sub(row.since), Instance: other.id, Phase: row.phase})
+		if found && other != i && now.Sub(row.writtenAt) < modelRowExpiry {
+			others = append(others, workspace.Member{Age: now.Sub(row.presentSince), Instance: other.id, Phase: row.phase})
 		}
 	}
-	age := now.Sub(i.ownSince(now))
+	age := now.Sub(i.ownPresentSince(now))
 	i.participation.ObserveMembers(age, others)
 	if _, changed := i.participation.NextPhase(); changed {
-		i.nextBeat = now
+		i.nextHeartbeat = now
 	}
 	own := workspace.Member{Age: age, Instance: i.id, Phase: i.participation.EffectivePhase()}
-	if m.joinAtOnce {
+	if m.joinImmediately {
 		own.Phase = workspace.PhaseHolding
 	}
-	i.division.Divide(now, []workspace.Limit{m.limit}, append(others, own))
+	i.limiter.Divide(now, []workspace.Limit{m.limit}, append(others, own))
 }
 
-// ask has an instance admit one operation, from the pools if need be.
-func (m *divisionModel) ask(i *modelInstance, now time.Time) {
-	i.division.RecordDemand(now, m.limit.Workspace)
-	if i.division.Admit(now, m.limit.Workspace).Admitted {
+// request sends one request to an instance, which takes from the pools if its own
+// share is used up.
+func (m *divisionModel) request(i *modelInstance, now time.Time) {
+	i.limiter.RecordDemand(now, m.limit.Workspace)
+	if i.limiter.Admit(now, m.limit.Workspace).Admitted {
 		m.admitted = append(m.admitted, now)
 		return
 	}
-	for _, owner := range i.division.PoolOwners(now, m.limit.Workspace) {
+	for _, owner := range i.limiter.PoolOwners(now, m.limit.Workspace) {
 		for _, other := range m.instances {
-			if other.id != owner.Instance || !other.acts(now) {
+			if other.id != owner.Instance || !other.isRunning(now) {
 				continue
 			}
-			if given, _ := other.division.TakeFromPool(now, m.limit.Workspace, 1); given > 0 {
-				i.division.Add(now, m.limit.Workspace, given)
-				if i.division.Admit(now, m.limit.Workspace).Admitted {
+			if given, _ := other.limiter.TakeFromPool(now, m.limit.Workspace, 1); given > 0 {
+				i.limiter.Add(now, m.limit.Workspace, given)
+				if i.limiter.Admit(now, m.limit.Workspace).Admitted {
 					m.admitted = append(m.admitted, now)
 				}
 				return
@@ -155,92 +161,97 @@
 	}
 }
 
-// most returns the most operations that were admitted in a window.
-func (m *divisionModel) most() int {
-	most, first := 0, 0
+// maxInWindow returns the largest number of requests admitted in any window of
+// modelWindow.
+func (m *divisionModel) maxInWindow() int {
+	maxInWindow, first := 0, 0
 	for last, at := range m.admitted {
 		for at.Sub(m.admitted[first]) > modelWindow {
 			first++
 		}
-		most = max(most, last-first+1)
+		maxInWindow = max(maxInWindow, last-first+1)
 	}
-	return most
+	return maxInWindow
 }
 
-// bound is the rule of the users' platform: a tenth more, and a slack of 20.
-func (m *divisionModel) bound() float64 {
+// maxAllowed returns the number of requests in modelWindow that the users' platform
+// tolerates: the limit plus 10%, and 20 more.
+func (m *divisionModel) maxAllowed() float64 {
 	return (m.limit.Rate*modelWindow.Seconds()+m.limit.Burst)*1.1 + 20
 }
 
-// modelFault begins at a time and lasts for a span.
+// modelFault is a fault of one instance that starts at a time and lasts for a
+// duration.
 type modelFault struct {
 	at       time.Duration
 	instance int
 	kind     string
-	lasts    time.Duration
+	duration time.Duration
 }
 
 const (
-	modelSpan = 40 * time.Second
-	// modelAsked is how often each instance is asked for in a tick: more than
-	// the largest limit over two instances.
-	modelAsked = 6
+	modelDuration = 40 * time.Second
+	// modelRequestsPerTick is the number of requests to each instance in one tick.
+	// Two instances together get more than the largest limit.
+	modelRequestsPerTick = 6
 )
 
-// run plays faults, which are in the order of their times.
+// run simulates modelDuration with the faults, which are ordered by time.
 func (m *divisionModel) run(instances int, faults []modelFault) {
-	now := begin
+	now := start
 	m.rows = map[fleet.InstanceID]modelRow{}
 	for n := range instances {
 		i := &modelInstance{id: fleet.InstanceID("i" + strconv.Itoa(n))}
 		m.instances = append(m.instances, i)
 		m.restart(i, now)
-		i.nextLook = now.Add(time.Duration(n) * 100 * time.Millisecond)
+		i.nextRead = now.Add(time.Duration(n) * 100 * time.Millisecond)
 	}
-	for now.Before(begin.Add(modelSpan)) {
+	for now.Before(start.Add(modelDuration)) {
 		now = now.Add(modelTick)
-		for len(faults) > 0 && !now.Before(begin.Add(faults[0].at)) {
-			m.begin(faults[0], now)
+		for len(faults) > 0 && !now.Before(start.Add(faults[0].at)) {
+			m.start(faults[0], now)
 			faults = faults[1:]
 		}
 		for _, i := range m.instances {
-			if !i.acts(now) {
+			if !i.isRunning(now) {
 				continue
 			}
-			if !i.deadUntil.IsZero() {
-				i.deadUntil = time.Time{}
+			if !i.stoppedUntil.IsZero() {
+				i.stoppedUntil = time.Time{}
 				m.restart(i, now)
 			}
 			m.step(i, now)
-			for range modelAsked {
-				m.ask(i, now)
+			for range modelRequestsPerTick {
+				m.request(i, now)
 			}
 		}
 	}
 }
 
-func (m *divisionModel) begin(fault modelFault, now time.Time) {
+// start starts a fault, unless its instance is stopped or paused.
+func (m *divisionModel) start(fault modelFault, now time.Time) {
 	i := m.instances[fault.instance%len(m.instances)]
-	if !i.acts(now) {
+	if !i.isRunning(now) {
 		return
 	}
-	until := now.Add(fault.lasts)
+	until := now.Add(fault.duration)
 	switch fault.kind {
 	case "cut":
-		i.cutUntil = until
+		i.disconnectedUntil = until
 	case "deaf":
-		// The store refuses reads and takes writes.
-		i.deafUntil = until
+		// The store rejects reads but accepts writes.
+		i.readsFailUntil = until
 	case "kill":
-		i.deadUntil = until
+		i.stoppedUntil = until
 	case "leave":
 		delete(m.rows, i.id)
-		i.deadUntil = until
+		i.stoppedUntil = until
 	case "pause":
 		i.pausedUntil = until
 	}
 }
 
+// drawFaults returns random faults.
 func drawFaults(t *rapid.T) []modelFault {
 	var faults []modelFault
 	at := 0
@@ -250,40 +261,41 @@
 			at:       time.Duration(at) * time.Millisecond,
 			instance: rapid.IntRange(0, 8).Draw(t, "instance"),
 			kind:     rapid.SampledFrom([]string{"cut", "deaf", "kill", "leave", "pause"}).Draw(t, "kind"),
-			lasts:    time.Duration(rapid.IntRange(300, 9000).Draw(t, "milliseconds")) * time.Millisecond,
+			duration: time.Duration(rapid.IntRange(300, 9000).Draw(t, "milliseconds")) * time.Millisecond,
 		})
 	}
 	return faults
 }
 
+// drawLimit returns a random limit.
 func drawLimit(t *rapid.T) workspace.Limit {
 	rate := rapid.Float64Range(2, 120).Draw(t, "rate")
 	return workspace.Limit{Burst: rate * rapid.Float64Range(0.5, 2).Draw(t, "burst"), Rate: rate, Workspace: "w"}
 }
 
-// TestDivisionModel guards against a workspace that gets more than its limit
-// while instances die, restart, leave, thaw and are cut off from the store,
-// wholly or for reads.
+// TestDivisionModel guards against admitting more than a workspace's limit while
+// instances crash, restart, leave, resume after a pause, and lose access to the store,
+// either completely or for reads only.
 func TestDivisionModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &divisionModel{limit: drawLimit(t)}
 		m.run(rapid.IntRange(2, 9).Draw(t, "instances"), drawFaults(t))
-		if got := m.most(); float64(got) > m.bound() {
-			t.Fatalf("%d operations in %v, want at most %.0f of %+v", got, modelWindow, m.bound(), m.limit)
+		if got := m.maxInWindow(); float64(got) > m.maxAllowed() {
+			t.Fatalf("%d requests admitted in %v, want at most %.0f with limit %+v", got, modelWindow, m.maxAllowed(), m.limit)
 		}
 	})
 }
 
-// TestDivisionModelFindsFaults guards against a model that can't fail.
+// TestDivisionModelFindsFaults guards against a model that doesn't detect faults.
 func TestDivisionModelFindsFaults(t *testing.T) {
-	// Eight instances join one that has been alone, which is deaf in the second
-	// schedule.
-	var joining, joiningDeaf []modelFault
+	// Eight instances join one that has run alone. In the second schedule, its reads
+	// from the store fail meanwhile.
+	var joining, joiningReadsFail []modelFault
 	for n := range 8 {
-		joining = append(joining, modelFault{instance: n + 1, kind: "leave", lasts: 15 * time.Second})
+		joining = append(joining, modelFault{instance: n + 1, kind: "leave", duration: 15 * time.Second})
 	}
-	joiningDeaf = append(joiningDeaf, joining...)
-	joiningDeaf = append(joiningDeaf, modelFault{at: 14 * time.Second, instance: 0, kind: "deaf", lasts: 20 * time.Second})
+	joiningReadsFail = append(joiningReadsFail, joining...)
+	joiningReadsFail = append(joiningReadsFail, modelFault{at: 14 * time.Second, instance: 0, kind: "deaf", duration: 20 * time.Second})
 	for _, test := range []struct {
 		name   string
 		model  divisionModel
@@ -291,16 +303,16 @@
 		found  bool
 	}{
 		{name: "no fault", faults: joining},
-		{name: "no fault, one deaf", faults: joiningDeaf},
-		{name: "joins at once", model: divisionModel{joinAtOnce: true}, faults: joining, found: true},
-		{name: "admits without a look", model: divisionModel{stale: true}, faults: joiningDeaf, found: true},
+		{name: "no fault, reads of one instance fail", faults: joiningReadsFail},
+		{name: "holds shares immediately after joining", model: divisionModel{joinImmediately: true}, faults: joining, found: true},
+		{name: "admits on stale rows", model: divisionModel{admitOnStaleRows: true}, faults: joiningReadsFail, found: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := test.model
 			m.limit = workspace.Limit{Burst: 100, Rate: 100, Workspace: "w"}
 			m.run(9, test.faults)
-			if got := float64(m.most()) > m.bound(); got != test.found {
-				t.Errorf("%d operations in %v of at most %.0f: exceeded %t, want %t", m.most(), modelWindow, m.bound(), got, test.found)
+			if got := float64(m.maxInWindow()) > m.maxAllowed(); got != test.found {
+				t.Errorf("%d requests admitted in %v, at most %.0f allowed: exceeded %t, want %t", m.maxInWindow(), modelWindow, m.maxAllowed(), got, test.found)
 			}
 		})
 	}
--- a/workspace/limiter.go
+++ b/workspace/limiter.go
@@ -8,44 +8,47 @@
 )
 
 const (
-	// admissionTolerance absorbs rounding, so that a bucket that was filled in
-	// many small steps still admits its last whole request.
+	// admissionTolerance absorbs rounding errors, so that a bucket that was refilled
+	// in many small steps still admits its last whole request.
 	admissionTolerance = 1e-9
-	// noRetry is the retry time of a workspace whose share never refills.
-	noRetry = time.Second
+	// defaultRetryAfter is the retry time if no better one can be computed: the
+	// limiter isn't valid, or the workspace has no share or one that never refills
+	// to a whole request.
+	defaultRetryAfter = time.Second
 )
 
-// Decision is the answer to one request for admission.
+// Decision says whether a request is admitted.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is the time after which a retry can succeed. It is zero for
-	// an admitted request.
+	// RetryAfter is the time after which a retry can succeed. It is zero if the
+	// request was admitted.
 	RetryAfter time.Duration
 }
 
-// Limiter is the token buckets of one instance. It mints only while the
-// instance is valid. It is not safe for concurrent use.
+// Limiter holds the token buckets of one instance, one for each workspace. It admits
+// requests and refills the buckets only until the end of its validity, which Renew
+// extends. It is not safe for concurrent use.
 type Limiter struct {
 	buckets    map[fleet.WorkspaceID]*bucket
 	validUntil time.Time
 }
 
-// bucket is one share with the time up to which its level is counted.
+// bucket is a share with the time up to which it was refilled.
 type bucket struct {
-	counted time.Time
-	share   Share
+	filledAt time.Time
+	share    Share
 }
 
-// NewLimiter returns a limiter without shares and without validity.
+// NewLimiter returns a limiter without shares that isn't valid yet.
 func NewLimiter() *Limiter {
 	return &Limiter{buckets: make(map[fleet.WorkspaceID]*bucket)}
 }
 
-// Admit takes one request from the workspace's share, if there is one.
+// Admit takes one token from the workspace's share, if there is one.
 func (l *Limiter) Admit(now time.Time, workspace fleet.WorkspaceID) Decision {
 	b := l.buckets[workspace]
 	if b == nil || !now.Before(l.validUntil) {
-		return Decision{RetryAfter: noRetry}
+		return Decision{RetryAfter: defaultRetryAfter}
 	}
 	b.fill(now, l.validUntil)
 	if b.share.Level+admissionTolerance >= 1 {
@@ -55,8 +58,9 @@
 	return Decision{RetryAfter: b.retryAfter()}
 }
 
-// Take takes up to want requests for another instance, at least one or none.
-// Without any, the retry time is given.
+// Take takes up to want tokens from the workspace's share for another instance. It
+// takes at least one token, or none and returns the time after which a retry can
+// succeed.
 func (l *Limiter) Take(now time.Time, workspace fleet.WorkspaceID, want float64) (taken float64, retryAfter time.Duration) {
 	first := l.Admit(now, workspace)
 	if !first.Admitted {
@@ -68,13 +72,13 @@
 	return 1 + more, 0
 }
 
-// Remove drops the share of a workspace.
+// Remove removes the share of a workspace.
 func (l *Limiter) Remove(workspace fleet.WorkspaceID) {
 	delete(l.buckets, workspace)
 }
 
-// Renew sets the end of the validity. Nothing is minted for the time between
-// the end of the earlier validity and now.
+// Renew sets the end of the validity. The buckets aren't refilled for the time between
+// the end of the previous validity and now.
 func (l *Limiter) Renew(now, validUntil time.Time) {
 	for _, b := range l.buckets {
 		b.fill(now, l.validUntil)
@@ -82,20 +86,20 @@
 	l.validUntil = validUntil
 }
 
-// Set replaces the share of a workspace. The level of the new share counts
-// from now.
+// Set replaces the share of a workspace. Its bucket is refilled from now on, starting
+// at the level of the share.
 func (l *Limiter) Set(now time.Time, workspace fleet.WorkspaceID, share Share) {
 	share = share.clamped()
 	b := l.buckets[workspace]
 	if b == nil {
-		l.buckets[workspace] = &bucket{counted: now, share: share}
+		l.buckets[workspace] = &bucket{filledAt: now, share: share}
 		return
 	}
 	b.fill(now, l.validUntil)
 	b.share = share
 }
 
-// Share returns the share that the instance holds, filled up to now.
+// Share returns the workspace's share with its level as of now.
 func (l *Limiter) Share(now time.Time, workspace fleet.WorkspaceID) Share {
 	b := l.buckets[workspace]
 	if b == nil {
@@ -110,30 +114,31 @@
 	return l.validUntil
 }
 
-// fill mints for the time since the last count, up to the end of validity. A
-// time before the last count mints nothing and does not move the count back.
+// fill adds the tokens for the time since the last refill, up to the end of the
+// validity. A time before the last refill changes nothing.
 func (b *bucket) fill(now, validUntil time.Time) {
-	if !now.After(b.counted) {
+	if !now.After(b.filledAt) {
 		return
 	}
 	end := now
 	if validUntil.Before(end) {
 		end = validUntil
 	}
-	if end.After(b.counted) {
-		b.share.Level += b.share.Rate * end.Sub(b.counted).Seconds()
+	if end.After(b.filledAt) {
+		b.share.Level += b.share.Rate * end.Sub(b.filledAt).Seconds()
 	}
-	b.counted = now
+	b.filledAt = now
 	b.share = b.share.clamped()
 }
 
+// retryAfter returns the time until the bucket holds a whole token.
 func (b *bucket) retryAfter() time.Duration {
 	if b.share.Rate <= 0 {
-		return noRetry
+		return defaultRetryAfter
 	}
 	seconds := (1 - b.share.Level) / b.share.Rate
-	if seconds > noRetry.Seconds() && b.share.Capacity < 1 {
-		return noRetry
+	if seconds > defaultRetryAfter.Seconds() && b.share.Capacity < 1 {
+		return defaultRetryAfter
 	}
 	return time.Duration(math.Ceil(seconds * float64(time.Second)))
 }
--- a/workspace/limiter_test.go
+++ b/workspace/limiter_test.go
@@ -11,10 +11,10 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-var begin = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
-// TestLimiterNeverExceedsItsShare guards against tokens that are minted by a
-// clock that jumps or goes back, outside the validity, or above the capacity.
+// TestLimiterNeverExceedsItsShare guards against tokens that are added because the
+// clock jumps or goes backwards, outside the validity, or above the capacity.
 func TestLimiterNeverExceedsItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := workspace.Share{
@@ -23,9 +23,9 @@
 			Rate:     rapid.Float64Range(0, 10).Draw(t, "rate"),
 		}
 		limiter := workspace.NewLimiter()
-		limiter.Renew(begin, begin.Add(time.Minute))
-		limiter.Set(begin, "w", share)
-		now, newest, validUntil, minted, admitted := begin, begin, begin.Add(time.Minute), 0.0, 0
+		limiter.Renew(start, start.Add(time.Minute))
+		limiter.Set(start, "w", share)
+		now, newest, validUntil, minted, admitted := start, start, start.Add(time.Minute), 0.0, 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(-3000, 5000).Draw(t, "step")) * time.Millisecond)
 			if now.After(newest) {
@@ -56,23 +56,22 @@
 	})
 }
 
-// TestRetryAfter guards against a refusal that names a time at which the next
-// request is refused again.
+// TestRetryAfter guards against a retry time at which the request is refused again.
 func TestRetryAfter(t *testing.T) {
 	limiter := workspace.NewLimiter()
-	limiter.Renew(begin, begin.Add(time.Hour))
-	limiter.Set(begin, "w", workspace.Share{Capacity: 2, Level: 0.25, Rate: 3})
-	refused := limiter.Admit(begin, "w")
+	limiter.Renew(start, start.Add(time.Hour))
+	limiter.Set(start, "w", workspace.Share{Capacity: 2, Level: 0.25, Rate: 3})
+	refused := limiter.Admit(start, "w")
 	if diff := cmp.Diff(workspace.Decision{RetryAfter: 250 * time.Millisecond}, refused); diff != "" {
 		t.Errorf("decision (-want +got):\n%s", diff)
 	}
-	if !limiter.Admit(begin.Add(refused.RetryAfter), "w").Admitted {
-		t.Error("the retry at the named time is refused")
+	if !limiter.Admit(start.Add(refused.RetryAfter), "w").Admitted {
+		t.Error("the retry after RetryAfter is refused")
 	}
 }
 
-// TestShareArithmeticKeepsTheSum guards against splits, merges and scalings
-// that create or lose a part of a limit.
+// TestShareArithmeticKeepsTheSum guards against Split, Merge and Scale creating or
+// losing a part of a limit.
 func TestShareArithmeticKeepsTheSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := workspace.Limit{
@@ -81,12 +80,12 @@
 		}
 		full := workspace.FullShare(limit)
 		given, kept := full.Split(rapid.Float64Range(-1, 2).Draw(t, "fraction"))
-		if sum := workspace.Merge(given, kept); !near(sum, full) {
+		if sum := workspace.Merge(given, kept); !nearlyEqual(sum, full) {
 			t.Fatalf("%+v + %+v = %+v, want %+v", given, kept, sum, full)
 		}
 		to := workspace.Limit{Burst: limit.Burst * 2, Rate: limit.Rate / 2, Workspace: "w"}
 		sum := workspace.Merge(given.Scale(limit, to), kept.Scale(limit, to))
-		if want := (workspace.Share{Capacity: to.Burst, Level: limit.Burst, Rate: to.Rate}); !near(sum, want) {
+		if want := (workspace.Share{Capacity: to.Burst, Level: limit.Burst, Rate: to.Rate}); !nearlyEqual(sum, want) {
 			t.Fatalf("scaled sum %+v, want %+v", sum, want)
 		}
 		if small := workspace.Minimum(given, kept); small.Level > small.Capacity || small.Rate > given.Rate {
@@ -102,29 +101,29 @@
 	return b
 }
 
-func near(a, b workspace.Share) bool {
+func nearlyEqual(a, b workspace.Share) bool {
 	return math.Abs(a.Capacity-b.Capacity) < 1e-6 && math.Abs(a.Level-b.Level) < 1e-6 && math.Abs(a.Rate-b.Rate) < 1e-6
 }
 
-// TestTake guards against a pool that gives more than it holds, or less than a
-// whole request, and against an empty one without a time to come back.
+// TestTake guards against a pool that gives more than it holds or less than a whole
+// token, and against an empty pool without a retry time.
 func TestTake(t *testing.T) {
 	limiter := workspace.NewLimiter()
-	limiter.Renew(begin, begin.Add(time.Minute))
-	limiter.Set(begin, "w", workspace.Share{Capacity: 3.5, Level: 3.5, Rate: 2})
+	limiter.Renew(start, start.Add(time.Minute))
+	limiter.Set(start, "w", workspace.Share{Capacity: 3.5, Level: 3.5, Rate: 2})
 	type take struct {
 		Taken      float64
 		RetryAfter time.Duration
 	}
 	var got []take
 	for _, want := range []float64{0.3, 2, 5, 1} {
-		taken, retryAfter := limiter.Take(begin, "w", want)
+		taken, retryAfter := limiter.Take(start, "w", want)
 		got = append(got, take{taken, retryAfter})
 	}
-	taken, retryAfter := limiter.Take(begin.Add(time.Second), "w", 5)
+	taken, retryAfter := limiter.Take(start.Add(time.Second), "w", 5)
 	got = append(got, take{taken, retryAfter})
 	want := []take{{Taken: 1}, {Taken: 2}, {RetryAfter: 250 * time.Millisecond}, {RetryAfter: 250 * time.Millisecond}, {Taken: 2.5}}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("takings (-want +got):\n%s", diff)
+		t.Errorf("results of Take (-want +got):\n%s", diff)
 	}
 }
--- a/workspace/participation.go
+++ b/workspace/participation.go
@@ -8,74 +8,79 @@
 )
 
 const (
-	// joinDelay is how long an instance that joins others holds no part of a
-	// limit. All others have seen it by then, or may not admit any more: they do
-	// so for 4.5 s after a look at the rows.
+	// joinDelay is how long an instance that joins running ones holds no shares.
+	// By then all others have seen its row or may no longer admit requests, which
+	// they may for 4.5 s after reading the membership rows.
 	joinDelay = 4700 * time.Millisecond
-	// coldDelay is how long an instance that sees nobody hold parts waits for
-	// others that start with it: two looks at the rows.
-	coldDelay = 600 * time.Millisecond
-	// shrinkAhead is how long before a joining instance may hold its parts of
-	// limits they are left to it: clocks of the store's time differ by less.
-	shrinkAhead = 100 * time.Millisecond
+	// coldStartDelay is how long an instance that sees no other one hold shares
+	// waits for instances that start at the same time: two reads of the membership
+	// rows.
+	coldStartDelay = 600 * time.Millisecond
+	// clockSkewMargin is how long before a joining instance may hold its shares the
+	// others give them up. The instances' estimates of the store's time differ by
+	// less.
+	clockSkewMargin = 100 * time.Millisecond
 )
 
-// Phase says whether an instance holds parts of limits.
+// Phase says whether an instance holds shares of the rate limits.
 type Phase string
 
 // Phases of an instance.
 const (
-	// PhaseHolding means that it holds its parts.
+	// PhaseHolding means that the instance holds its shares.
 	PhaseHolding Phase = "Holding"
-	// PhaseJoining means that it has seen others hold parts, and holds its own
-	// from joinDelay on.
+	// PhaseJoining means that the instance has seen others hold shares. It holds
+	// its own once its row is joinDelay old.
 	PhaseJoining Phase = "Joining"
-	// PhaseStarting means that it may hold parts as soon as it has seen nobody
-	// else hold any.
+	// PhaseStarting means that the instance may hold shares as soon as it has seen
+	// that no other one holds any.
 	PhaseStarting Phase = "Starting"
 )
 
-// Member is a live instance, as its row shows it.
+// Member is a live instance, as described by its membership row in the store.
 type Member struct {
-	// Age is how long its row has been there without a gap.
+	// Age is how long the row has existed without expiring.
 	Age      time.Duration
 	Instance fleet.InstanceID
 	Phase    Phase
 }
 
-// holds reports whether a member may hold parts after a span.
-func (m Member) holds(after time.Duration) bool {
+// holdsAfter reports whether a member may hold shares once the duration has passed.
+func (m Member) holdsAfter(after time.Duration) bool {
 	return m.Phase == PhaseHolding || m.Age+after >= joinDelay
 }
 
-// mayHold reports whether a member may hold parts at any moment.
-func (m Member) mayHold() bool {
-	return m.Phase == PhaseStarting || m.holds(shrinkAhead)
+// mayHoldSoon reports whether a member may hold shares now or, given the clock skew,
+// at any moment.
+func (m Member) mayHoldSoon() bool {
+	return m.Phase == PhaseStarting || m.holdsAfter(clockSkewMargin)
 }
 
-// Participation decides when this instance begins to hold parts of limits. An instance
-// that writes that it holds them, and then looks at the rows, sees every other
-// that has done the same, or is seen by it. It isn't safe for concurrent use.
+// Participation decides when this instance starts to hold shares of the rate limits.
+// An instance first writes to its membership row that it holds them and then reads
+// all rows. Of two instances that do so at the same time, at least one sees the
+// other. It isn't safe for concurrent use.
 type Participation struct {
-	// confirmed is true once the rows were looked at after the phase Holding
-	// was written.
+	// confirmed is true once the rows were read after PhaseHolding was written.
 	confirmed bool
 	phase     Phase
-	written   Phase
+	// written is the phase in this instance's row, or empty.
+	written Phase
 }
 
-// NewParticipation returns a participation without a row.
+// NewParticipation returns the state of an instance without a membership row.
 func NewParticipation() *Participation {
 	return &Participation{phase: PhaseStarting}
 }
 
-// Lapse says that the own row may have counted as gone.
+// Reset starts over, because others may have considered this instance's row as
+// expired.
 func (p *Participation) Reset() {
 	*p = Participation{phase: PhaseStarting}
 }
 
-// Look takes in the other live instances. Age is that of the own row, which
-// must have been written before the look.
+// ObserveMembers updates the phase after a read of the membership rows. Age is the
+// age of this instance's row, which must have been written before the read.
 func (p *Participation) ObserveMembers(age time.Duration, others []Member) {
 	if p.written == PhaseHolding {
 		p.confirmed = true
@@ -84,26 +89,27 @@
 	case p.written == "" || p.phase == PhaseHolding:
 	case age >= joinDelay:
 		p.phase = PhaseHolding
-	case slices.ContainsFunc(others, func(m Member) bool { return m.holds(0) }):
+	case slices.ContainsFunc(others, func(m Member) bool { return m.holdsAfter(0) }):
 		p.phase = PhaseJoining
-	case p.phase == PhaseStarting && age >= coldDelay:
+	case p.phase == PhaseStarting && age >= coldStartDelay:
 		p.phase = PhaseHolding
 	}
 }
 
-// NeedsFreshRead reports whether the next look must show the own row as it was last
-// written, and so may not come from a copy.
+// NeedsFreshRead reports whether the next read must include this instance's row as
+// it was last written, and so must not be served from a cached copy.
 func (p *Participation) NeedsFreshRead() bool {
 	return p.phase == PhaseStarting || (p.phase == PhaseHolding && !p.confirmed)
 }
 
-// Next returns the phase that the own row is to show, and whether it shows
-// another one.
+// NextPhase returns the phase to write to this instance's row, and whether it
+// differs from the written one.
 func (p *Participation) NextPhase() (phase Phase, changed bool) {
 	return p.phase, p.phase != p.written
 }
 
-// Own returns the phase by which this instance counts itself.
+// EffectivePhase returns the phase that this instance assumes for itself when it
+// computes shares. PhaseHolding counts only once it is confirmed.
 func (p *Participation) EffectivePhase() Phase {
 	if p.phase == PhaseHolding && !p.confirmed {
 		return PhaseJoining
@@ -111,13 +117,13 @@
 	return p.phase
 }
 
-// Resume takes over the phase of the own row, which still counts, from an
-// earlier run of the instance.
+// Resume continues with the phase in this instance's row from an earlier run, which
+// has not expired.
 func (p *Participation) Resume(phase Phase) {
 	*p = Participation{confirmed: phase == PhaseHolding, phase: phase, written: phase}
 }
 
-// Written says that the own row shows a phase.
+// PhaseWritten records that the phase was written to this instance's row.
 func (p *Participation) PhaseWritten(phase Phase) {
 	p.written = phase
 }
--- a/workspace/pooldirectory.go
+++ b/workspace/pooldirectory.go
@@ -7,29 +7,31 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// PoolOwner is what an instance knows of one owner's pool of a workspace.
+// PoolOwner is an instance that owns a pool of a workspace.
 type PoolOwner struct {
 	Instance fleet.InstanceID
-	// Until is when the pool may be asked again.
+	// SkipUntil is the time before which the pool should not be asked, because it
+	// was empty or its owner did not answer.
 	SkipUntil time.Time
 }
 
-// poolDirectory is what an instance knows of the pools of one workspace.
+// poolDirectory holds the owners of the pools of one workspace.
 type poolDirectory struct {
-	// owners begin with this instance, if it is one of them.
+	// owners starts with this instance, if it is one of them.
 	owners []PoolOwner
-	turn   int
+	// rotation counts the calls of askOrder, to alternate between the owners.
+	rotation int
 }
 
-// setOwners replaces the owners of the pools. What is known of those that stay
-// is kept.
+// setOwners replaces the owners of the pools. Owners that remain keep their
+// SkipUntil.
 func (p *poolDirectory) setOwners(self fleet.InstanceID, owners []fleet.InstanceID) {
-	before := p.owners
+	previous := p.owners
 	p.owners = nil
 	for _, owner := range owners {
 		next := PoolOwner{Instance: owner}
-		if i := slices.IndexFunc(before, func(o PoolOwner) bool { return o.Instance == owner }); i >= 0 {
-			next = before[i]
+		if i := slices.IndexFunc(previous, func(o PoolOwner) bool { return o.Instance == owner }); i >= 0 {
+			next = previous[i]
 		}
 		if owner == self {
 			p.owners = slices.Insert(p.owners, 0, next)
@@ -39,14 +41,14 @@
 	}
 }
 
-// inTurn returns the owners in the order in which to ask them: the own pool
-// first, others by turns.
-func (p *poolDirectory) inTurn(self fleet.InstanceID) []PoolOwner {
+// askOrder returns the owners in the order in which to ask them. This instance comes
+// first if it is an owner; otherwise the order alternates between calls.
+func (p *poolDirectory) askOrder(self fleet.InstanceID) []PoolOwner {
 	owners := slices.Clone(p.owners)
 	if len(owners) == 0 || owners[0].Instance == self {
 		return owners
 	}
-	if p.turn++; p.turn%2 == 0 {
+	if p.rotation++; p.rotation%2 == 0 {
 		slices.Reverse(owners)
 	}
 	return owners
--- a/workspace/pooled.go
+++ b/workspace/pooled.go
@@ -7,54 +7,56 @@
 )
 
 const (
-	// directPart is the part of a limit that is divided equally between the
-	// instances, for the time in which the owners of its pools can't be reached.
-	// The rest goes where the demand is. Limits are about 1.6 times the usual
-	// demand, so with one owner gone there is still a little more than it.
-	directPart = 0.3
-	// directLeast is the least share of an instance, in requests a second and
-	// in requests of burst, for which dividing a limit makes sense. Smaller ones
-	// refuse what comes at random intervals, and a whole request for each
-	// instance would add up to more than the burst.
-	directLeast = 1
-	// poolOwners is the number of pools of a workspace. With two, an instance
-	// that dies takes half of a pool with it until its lease has ended.
-	poolOwners = 2
+	// directFraction is the fraction of a limit that is divided equally among the
+	// instances, so that they can admit requests while the owners of the pools are
+	// unreachable. The rest is pooled and follows the demand. Limits are about 1.6
+	// times the usual demand, so if one of the two owners fails, slightly more than
+	// the usual demand is still available.
+	directFraction = 0.3
+	// minDirectShare is the smallest direct share for which a limit is divided, in
+	// requests per second of rate and in requests of burst. Smaller shares would
+	// refuse requests that arrive at random intervals, and a bucket of one whole
+	// request for each instance would add up to more than the burst.
+	minDirectShare = 1
+	// poolsPerWorkspace is the number of pools of a workspace. With two, half of the
+	// pooled tokens are unavailable if an owner dies, until its lease has expired.
+	poolsPerWorkspace = 2
 )
 
-// PooledFraction returns the part of a limit that is not divided between instances
-// but lies in pools, from which each instance takes what it needs.
+// PooledFraction returns the fraction of a limit that isn't divided into direct
+// shares but held in pools, from which each instance takes tokens on demand. It is
+// one if the direct shares would be smaller than minDirectShare.
 func PooledFraction(limit Limit, instances int) float64 {
-	divided := directPart / float64(instances)
-	if limit.Rate*divided < directLeast || limit.Burst*divided < directLeast {
+	directShare := directFraction / float64(instances)
+	if limit.Rate*directShare < minDirectShare || limit.Burst*directShare < minDirectShare {
 		return 1
 	}
-	return 1 - directPart
+	return 1 - directFraction
 }
 
-// PoolOwners returns the instances that hold the pools of a workspace in equal
-// parts.
+// PoolOwners returns the instances that own the pools of a workspace. The pools are
+// of equal size.
 func PoolOwners(workspace fleet.WorkspaceID, holders []fleet.InstanceID) []fleet.InstanceID {
-	return fleet.Owners(string(workspace), holders, poolOwners)
+	return fleet.Owners(string(workspace), holders, poolsPerWorkspace)
 }
 
-// holders returns the members that may hold parts of limits.
-func holders(members []Member, may func(Member) bool) []fleet.InstanceID {
+// holders returns the instances of the members for which mayHold returns true.
+func holders(members []Member, mayHold func(Member) bool) []fleet.InstanceID {
 	var instances []fleet.InstanceID
 	for _, m := range members {
-		if may(m) {
+		if mayHold(m) {
 			instances = append(instances, m.Instance)
 		}
 	}
 	return instances
 }
 
-// nextChange returns when the holders change next by the age of a member. It is
-// zero if they don't.
-func nextChange(members []Member) time.Duration {
+// timeToNextChange returns the time until the set of holders changes next because of
+// the age of a member, or zero if it won't.
+func timeToNextChange(members []Member) time.Duration {
 	next := time.Duration(0)
 	for _, m := range members {
-		for _, age := range []time.Duration{joinDelay - shrinkAhead, joinDelay} {
+		for _, age := range []time.Duration{joinDelay - clockSkewMargin, joinDelay} {
 			if wait := age - m.Age; m.Phase != PhaseHolding && wait > 0 && (next == 0 || wait < next) {
 				next = wait
 			}
--- a/workspace/queue_test.go
+++ b/workspace/queue_test.go
@@ -13,8 +13,8 @@
 
 var queueStart = time.Unix(1000, 0)
 
-// TestQueueSharesByWeight guards against a workspace with a long backlog
-// taking turns of the others: each round gives each its weight.
+// TestQueueSharesByWeight guards against a workspace with a long backlog that gets more
+// requests in a round than its weight, at the expense of the others.
 func TestQueueSharesByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := map[fleet.WorkspaceID]int{}
@@ -97,8 +97,8 @@
 	})
 }
 
-// TestQueuePriority guards against a request that waits behind less urgent ones
-// of its workspace, and against urgent ones that take the turn of another
+// TestQueuePriority guards against a request that waits behind requests of lower
+// priority of its workspace, and against high-priority requests that delay another
 // workspace.
 func TestQueuePriority(t *testing.T) {
 	q := workspace.NewQueue[string](10)
@@ -108,14 +108,14 @@
 		{Priority: 2, Value: "b", Workspace: "b"},
 		{Priority: 0, Value: "a urgent too", Workspace: "a"},
 	} {
-		entry.Deadline = begin.Add(time.Hour)
+		entry.Deadline = start.Add(time.Hour)
 		if !q.Push(entry) {
 			t.Fatalf("%q was refused", entry.Value)
 		}
 	}
 	var got []string
 	for q.Len() > 0 {
-		entry, _, _ := q.Pop(begin)
+		entry, _, _ := q.Pop(start)
 		got = append(got, entry.Value)
 	}
 	if diff := cmp.Diff([]string{"a urgent", "b", "a urgent too", "a later"}, got); diff != "" {
--- a/workspace/share.go
+++ b/workspace/share.go
@@ -1,5 +1,5 @@
-// Package workspace decides the admission of requests: shares of the rate
-// limits of workspaces, and the fair queue of an instance.
+// Package workspace implements the admission of requests by workspace: rate limits that
+// are divided among the instances, and the fair queue of an instance.
 package workspace
 
 import (
@@ -8,27 +8,27 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Limit is the rate limit of one workspace, counted over all instances.
+// Limit is the rate limit of one workspace over all instances.
 type Limit struct {
-	// Burst in requests.
+	// Burst is the capacity of the token bucket, in requests.
 	Burst float64
-	// Rate in requests a second.
+	// Rate is in requests per second.
 	Rate      float64
 	Workspace fleet.WorkspaceID
 }
 
-// Share is the part of a workspace's limit that one instance holds. The level
-// never exceeds the capacity.
+// Share is the part of a workspace's limit that one instance holds, as a token bucket.
+// The level never exceeds the capacity.
 type Share struct {
-	// Capacity in requests.
+	// Capacity is the maximum level, in requests.
 	Capacity float64
-	// Level in requests that can be admitted at once.
+	// Level is the number of requests that can be admitted immediately.
 	Level float64
-	// Rate in requests a second.
+	// Rate is the refill rate in requests per second.
 	Rate float64
 }
 
-// FullShare returns the whole limit as one share with a full bucket.
+// FullShare returns the whole limit as a share with a full bucket.
 func FullShare(limit Limit) Share {
 	return Share{Capacity: limit.Burst, Level: limit.Burst, Rate: limit.Rate}
 }
@@ -38,7 +38,7 @@
 	return Share{Capacity: a.Capacity + b.Capacity, Level: a.Level + b.Level, Rate: a.Rate + b.Rate}.clamped()
 }
 
-// Minimum returns the smaller of two shares in each part.
+// Minimum returns the smaller value of two shares for each field.
 func Minimum(a, b Share) Share {
 	return Share{
 		Capacity: math.Min(a.Capacity, b.Capacity),
@@ -47,8 +47,8 @@
 	}.clamped()
 }
 
-// Scale returns the same fraction of another limit. It adds nothing to the
-// level, because a raised limit must not grant a second burst.
+// Scale converts a share of the limit from into the same fraction of the limit to. It
+// doesn't raise the level, because a raised limit must not grant a second burst.
 func (s Share) Scale(from, to Limit) Share {
 	return Share{
 		Capacity: s.Capacity * ratio(to.Burst, from.Burst),
@@ -57,8 +57,8 @@
 	}.clamped()
 }
 
-// Split divides the share. The first part holds the fraction, which is cut to
-// the range from zero to one; the second part holds the rest.
+// Split divides the share into a fraction, which is clamped to the range from zero to
+// one, and the rest.
 func (s Share) Split(fraction float64) (given, kept Share) {
 	if !(fraction > 0) {
 		return Share{}, s
@@ -72,22 +72,24 @@
 	return given, kept.clamped()
 }
 
-// clamped removes negative parts, values that are not finite numbers, and
-// levels above the capacity.
+// clamped returns the share with negative and non-finite values set to zero and the
+// level limited to the capacity.
 func (s Share) clamped() Share {
-	s.Capacity = positive(s.Capacity)
-	s.Level = math.Min(positive(s.Level), s.Capacity)
-	s.Rate = positive(s.Rate)
+	s.Capacity = clampPositive(s.Capacity)
+	s.Level = math.Min(clampPositive(s.Level), s.Capacity)
+	s.Rate = clampPositive(s.Rate)
 	return s
 }
 
-func positive(value float64) float64 {
+// clampPositive returns the value, or zero if it is negative or not finite.
+func clampPositive(value float64) float64 {
 	if value > 0 && !math.IsInf(value, 1) {
 		return value
 	}
 	return 0
 }
 
+// ratio returns to divided by from, or zero if from isn't positive.
 func ratio(to, from float64) float64 {
 	if from <= 0 {
 		return 0
