--- a/group/barrier.go
+++ b/group/barrier.go
@@ -11,8 +11,8 @@
 // after the arrival is confirmed. One round serves all sessions that arrived
 // before it began.
 func DecideBarrier(view View, arrived time.Time) (fleet.Position, bool) {
-	for _, sample := range view.Samples {
-		if !sample.Begun.Before(arrived) {
+	for _, sample := range view.ConfirmedPositions {
+		if !sample.RoundStart.Before(arrived) {
 			return sample.Position, true
 		}
 	}
--- a/group/bench_test.go
+++ b/group/bench_test.go
@@ -30,8 +30,8 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, servers := range []int{3, 5, 7, 9} {
 		view := benchView(now, servers)
-		need := group.Requirement{MaxAge: 500 * time.Millisecond, Written: fleet.Position{Log: 1, Term: 1}}
-		observation := group.Observation{Answered: now, Asked: now, Server: "b", Status: view.Servers[1].Status}
+		need := group.ReadRequirement{MaxAge: 500 * time.Millisecond, Written: fleet.Position{Log: 1, Term: 1}}
+		observation := group.Observation{RespondedAt: now, RequestedAt: now, Server: "b", Status: view.Servers[1].Status}
 		for _, bench := range []struct {
 			name string
 			run  func()
@@ -40,7 +40,7 @@
 			{"Commit", func() { group.DecideCommit(view, fleet.Position{Log: 1, Term: 1}) }},
 			{"Observe", func() { view.Observe(observation) }},
 			{"ReadCandidates", func() {
-				group.ReadCandidates(now, view, need, group.Choice{Random: random, Strategy: group.SampledTwo})
+				group.ReadCandidates(now, view, need, group.ReplicaSelection{Random: random, Strategy: group.SampledTwo})
 			}},
 		} {
 			b.Run(fmt.Sprintf("%s/servers=%d", bench.name, servers), func(b *testing.B) {
--- a/group/choice_test.go
+++ b/group/choice_test.go
@@ -182,18 +182,18 @@
 				status.Applied = t.position(t.now - t.lag)
 			}
 			at := time.Unix(1000, 0).Add(t.now)
-			t.views[i] = t.views[i].Observe(group.Observation{Answered: at, Asked: at.Add(-trip), Server: load.Server, Status: status})
+			t.views[i] = t.views[i].Observe(group.Observation{RespondedAt: at, RequestedAt: at.Add(-trip), Server: load.Server, Status: status})
 		}
 	}
 }
 
 // need draws the position that a read must see.
-func (t *choiceTrial) need() group.Requirement {
+func (t *choiceTrial) need() group.ReadRequirement {
 	age := time.Duration(t.arrivals.ExpFloat64() * float64(choiceTokenAge))
 	if t.arrivals.Float64() >= choiceTokenPart || t.lag == 0 {
-		return group.Requirement{}
+		return group.ReadRequirement{}
 	}
-	return group.Requirement{Written: t.position(t.now - age)}
+	return group.ReadRequirement{Written: t.position(t.now - age)}
 }
 
 func (t *choiceTrial) service() time.Duration {
@@ -206,8 +206,8 @@
 	return time.Duration(t.arrivals.ExpFloat64() * mean)
 }
 
-func (t *choiceTrial) read(instance int, need group.Requirement, service time.Duration) {
-	choice := group.Choice{Loads: t.loads[instance], Random: t.chosen, Strategy: t.strategy}
+func (t *choiceTrial) read(instance int, need group.ReadRequirement, service time.Duration) {
+	choice := group.ReplicaSelection{Loads: t.loads[instance], Random: t.chosen, Strategy: t.strategy}
 	if t.spread {
 		choice.Placement.Local = choiceCentre(instance)
 	}
--- a/group/config.go
+++ b/group/config.go
@@ -65,8 +65,8 @@
 	// CatchUpTimeout bounds the wait of a handover for the target's log. Writes
 	// wait meanwhile, so it is short.
 	CatchUpTimeout time.Duration
-	// CommitWait bounds one wait call for the evidence of commits.
-	CommitWait time.Duration
+	// CommitWaitTimeout bounds one wait call for the evidence of commits.
+	CommitWaitTimeout time.Duration
 	// DetectTime is the silence after which a primary has failed.
 	DetectTime time.Duration
 	// EstablishTimeout bounds the time from a promotion to its establishment.
@@ -76,8 +76,8 @@
 	HandoverDrain time.Duration
 	// HandoverRetry is the time between handovers that the placement calls for.
 	HandoverRetry time.Duration
-	// HandoverLag is the largest lag of a replica that a handover may choose.
-	HandoverLag time.Duration
+	// MaxHandoverLag is the largest lag of a replica that a handover may choose.
+	MaxHandoverLag time.Duration
 	// PollInterval is the time between status requests at rest.
 	PollInterval time.Duration
 	// PollTimeout bounds one control call. It is a sixth of DetectTime, so that
@@ -91,28 +91,28 @@
 	StepTimeout time.Duration
 	// SuspectInterval is the time between status requests under suspicion.
 	SuspectInterval time.Duration
-	// ViewAge is the age up to which a primary's status is used for routing.
-	ViewAge time.Duration
+	// MaxStatusAge is the age up to which a primary's status is used for routing.
+	MaxStatusAge time.Duration
 }
 
 // DefaultSettings returns the settings for servers about 1 ms away.
 func DefaultSettings() Settings {
 	return Settings{
-		BackoffMax:       1600 * time.Millisecond,
-		BackoffMin:       100 * time.Millisecond,
-		CatchUpTimeout:   200 * time.Millisecond,
-		CommitWait:       time.Second,
-		DetectTime:       900 * time.Millisecond,
-		EstablishTimeout: 2 * time.Second,
-		HandoverDrain:    time.Second,
-		HandoverLag:      time.Second,
-		HandoverRetry:    2 * time.Second,
-		PollInterval:     250 * time.Millisecond,
-		PollTimeout:      150 * time.Millisecond,
-		RankDelay:        150 * time.Millisecond,
-		RetryInterval:    50 * time.Millisecond,
-		StepTimeout:      500 * time.Millisecond,
-		SuspectInterval:  50 * time.Millisecond,
-		ViewAge:          time.Second,
+		BackoffMax:        1600 * time.Millisecond,
+		BackoffMin:        100 * time.Millisecond,
+		CatchUpTimeout:    200 * time.Millisecond,
+		CommitWaitTimeout: time.Second,
+		DetectTime:        900 * time.Millisecond,
+		EstablishTimeout:  2 * time.Second,
+		HandoverDrain:     time.Second,
+		MaxHandoverLag:    time.Second,
+		HandoverRetry:     2 * time.Second,
+		PollInterval:      250 * time.Millisecond,
+		PollTimeout:       150 * time.Millisecond,
+		RankDelay:         150 * time.Millisecond,
+		RetryInterval:     50 * time.Millisecond,
+		StepTimeout:       500 * time.Millisecond,
+		SuspectInterval:   50 * time.Millisecond,
+		MaxStatusAge:      time.Second,
 	}
 }
--- a/group/controller.go
+++ b/group/controller.go
@@ -68,7 +68,7 @@
 
 // AwaitCommit waits until the outcome of a write is known that the primary
 // answered at a position. If the context ends first the outcome is unknown:
-// the decision is Pending and the error is of KindUnknown.
+// the decision is Pending and the error is of KindOutcomeUnknown.
 func (c *Controller) AwaitCommit(ctx context.Context, p fleet.Position) (CommitDecision, error) {
 	c.update(func(v View) View { return v.ObserveWrite(p) })
 	c.mu.Lock()
@@ -84,22 +84,22 @@
 		return decision != Pending
 	})
 	if err != nil {
-		return Pending, &Error{Err: err, Kind: KindUnknown, Op: "await commit"}
+		return Pending, &Error{Err: err, Kind: KindOutcomeUnknown, Op: "await commit"}
 	}
 	return decision, nil
 }
 
 // AwaitFresh waits until a replica may serve the read, at most for the bound,
 // and returns the candidates in order. Without a replica these hold the
-// primary alone. The error is of KindLost if the session's writes are not part
+// primary alone. The error is of KindWriteLost if the session's writes are not part
 // of the group's history, and of KindStale if there is no candidate.
-func (c *Controller) AwaitFresh(ctx context.Context, need Requirement, choice Choice, bound time.Duration) ([]fleet.ServerID, error) {
+func (c *Controller) AwaitFresh(ctx context.Context, need ReadRequirement, choice ReplicaSelection, bound time.Duration) ([]fleet.ServerID, error) {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	for {
 		view, changed := c.config.Section.Watch()
 		if IsLost(view, need.Written) {
-			return nil, &Error{Kind: KindLost, Op: "await fresh"}
+			return nil, &Error{Kind: KindWriteLost, Op: "await fresh"}
 		}
 		servers := ReadCandidates(c.config.Clock.Now(), view, need, choice)
 		if len(servers) > 0 && servers[0] != view.Primary {
@@ -120,7 +120,7 @@
 func (c *Controller) AwaitPrimary(ctx context.Context) (fleet.ServerID, fleet.Term, error) {
 	var server fleet.ServerID
 	var term fleet.Term
-	if server, term, ok := c.config.Section.Load().PrimaryAt(c.config.Clock.Now(), c.config.Settings.ViewAge); ok {
+	if server, term, ok := c.config.Section.Load().PrimaryAt(c.config.Clock.Now(), c.config.Settings.MaxStatusAge); ok {
 		return server, term, nil
 	}
 	c.addWaiting(1)
@@ -128,7 +128,7 @@
 	notify(c.stepped)
 	err := c.await(ctx, func(v View) bool {
 		var ok bool
-		server, term, ok = v.PrimaryAt(c.config.Clock.Now(), c.config.Settings.ViewAge)
+		server, term, ok = v.PrimaryAt(c.config.Clock.Now(), c.config.Settings.MaxStatusAge)
 		return ok
 	})
 	if err != nil {
@@ -166,7 +166,7 @@
 // ReportFailure notes that a connection to a server failed, and asks all
 // servers for their status at once.
 func (c *Controller) ReportFailure(server fleet.ServerID) {
-	c.update(func(v View) View { return v.Refuse(server, c.config.Clock.Now()) })
+	c.update(func(v View) View { return v.MarkUnreachable(server, c.config.Clock.Now()) })
 	c.pollAll()
 }
 
@@ -176,11 +176,11 @@
 	c.pollAll()
 }
 
-// RequestHandover asks for a planned change of primary. The recorder tells
+// QueueHandover asks for a planned change of primary. The recorder tells
 // when it is established.
 func (c *Controller) RequestHandover(request HandoverRequest) {
 	c.mu.Lock()
-	c.promoter.Handover(request)
+	c.promoter.QueueHandover(request)
 	c.mu.Unlock()
 	notify(c.stepped)
 }
@@ -206,7 +206,7 @@
 		return SuspicionReport{}, false
 	}
 	return SuspicionReport{
-		Instance: c.config.Instance, Received: c.config.Clock.Now(),
+		Instance: c.config.Instance, ReceivedAt: c.config.Clock.Now(),
 		Silence: c.detection.Silence, Term: c.detection.Term,
 	}, true
 }
@@ -240,8 +240,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
-	holder := Holder(c.config.Instance, c.config.Epoch)
-	answer := Answer{Call: call}
+	holder := PromiseHolder(c.config.Instance, c.config.Epoch)
+	answer := CallResult{Call: call}
 	asked := c.config.Clock.Now()
 	var err error
 	switch call.Kind {
@@ -278,9 +278,9 @@
 	answered := c.config.Clock.Now()
 	c.update(func(v View) View {
 		if err != nil {
-			return v.Fail(server.ID, asked)
+			return v.RecordFailure(server.ID, asked)
 		}
-		return v.Observe(Observation{Answered: answered, Asked: asked, Server: server.ID, Status: status})
+		return v.Observe(Observation{RespondedAt: answered, RequestedAt: asked, Server: server.ID, Status: status})
 	})
 	notify(c.stepped)
 }
@@ -324,7 +324,7 @@
 
 // step lets the detector and the promoter decide, and starts the calls that
 // the promoter asks for.
-func (c *Controller) step(ctx context.Context, calls *sync.WaitGroup, answer *Answer) {
+func (c *Controller) step(ctx context.Context, calls *sync.WaitGroup, answer *CallResult) {
 	reports := c.config.Peers.Suspicions(c.config.Group)
 	live := c.config.Peers.Live()
 	placement := c.config.Placement()
@@ -338,7 +338,7 @@
 	}
 	c.planHandover(in)
 	out := c.promoter.Step(in, answer)
-	c.wake = earliest(c.detection.NextPoll, out.Wake)
+	c.wake = earliest(c.detection.NextPoll, out.NextStep)
 	phase := c.promoter.Phase()
 	entered := phase != c.phase
 	c.phase = phase
@@ -360,7 +360,7 @@
 
 // planHandover requests the handover that the placement calls for.
 func (c *Controller) planHandover(in PromoterInput) {
-	if c.promoter.Pending() || in.Now.Before(c.handoverNext) {
+	if c.promoter.HandoverPending() || in.Now.Before(c.handoverNext) {
 		return
 	}
 	target, due := HandoverDue(in, c.config.Settings.DetectTime)
@@ -368,7 +368,7 @@
 		return
 	}
 	c.handoverNext = in.Now.Add(c.config.Settings.HandoverRetry)
-	c.promoter.Handover(HandoverRequest{
+	c.promoter.QueueHandover(HandoverRequest{
 		Deadline: c.handoverNext, Drain: c.config.Settings.HandoverDrain, Target: target,
 	})
 }
@@ -430,7 +430,7 @@
 			}
 		}
 		asked := c.config.Clock.Now()
-		wait := c.config.Settings.CommitWait
+		wait := c.config.Settings.CommitWaitTimeout
 		callCtx, cancel := context.WithTimeout(ctx, wait+c.config.Settings.PollTimeout)
 		status, err := server.Control.Wait(callCtx, position, wait)
 		cancel()
--- a/group/controller_test.go
+++ b/group/controller_test.go
@@ -120,11 +120,11 @@
 				if record.Server == "a" {
 					t.Error("the failed primary was promoted again")
 				}
-				if gap := record.Established.Sub(begun); gap > tc.within {
+				if gap := record.EstablishedAt.Sub(begun); gap > tc.within {
 					t.Errorf("established after %v, want at most %v", gap, tc.within)
 				} else {
-					t.Logf("detected %v, decided %v, fenced %v, promoted %v, established %v", record.Detected.Sub(begun),
-						record.Decided.Sub(begun), record.Fenced.Sub(begun), record.Promoted.Sub(begun), gap)
+					t.Logf("detected %v, decided %v, fenced %v, promoted %v, established %v", record.DetectedAt.Sub(begun),
+						record.DecidedAt.Sub(begun), record.FencedAt.Sub(begun), record.PromotedAt.Sub(begun), gap)
 				}
 			})
 		})
@@ -231,10 +231,10 @@
 		if records[0].Server != "c" || !records[0].Handover {
 			t.Errorf("handed over to %s, handover %v", records[0].Server, records[0].Handover)
 		}
-		if gap := records[0].Established.Sub(records[0].Decided); gap > 50*time.Millisecond {
+		if gap := records[0].EstablishedAt.Sub(records[0].DecidedAt); gap > 50*time.Millisecond {
 			t.Errorf("gap %v, want at most 50ms", gap)
 		}
-		t.Logf("requested %v after the change, gap %v", records[0].Detected.Sub(begun), records[0].Established.Sub(records[0].Decided))
+		t.Logf("requested %v after the change, gap %v", records[0].DetectedAt.Sub(begun), records[0].EstablishedAt.Sub(records[0].DecidedAt))
 	})
 }
 
@@ -301,8 +301,8 @@
 		d := deploy(t, 3, 1)
 		i := d.instances[0]
 		position, _ := d.group.write("a")
-		choice := group.Choice{Strategy: group.FreshnessDistance}
-		need := group.Requirement{Written: position}
+		choice := group.ReplicaSelection{Strategy: group.FreshnessDistance}
+		need := group.ReadRequirement{Written: position}
 		servers, err := i.AwaitFresh(t.Context(), need, choice, 100*time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
@@ -328,16 +328,16 @@
 		short, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		defer cancel()
 		decision, err := d.instances[0].AwaitCommit(short, position)
-		if decision != group.Pending || kindOf(err) != group.KindUnknown {
-			t.Errorf("decision %s, error %v before a later term, want %s and %s", decision, err, group.Pending, group.KindUnknown)
+		if decision != group.Pending || kindOf(err) != group.KindOutcomeUnknown {
+			t.Errorf("decision %s, error %v before a later term, want %s and %s", decision, err, group.Pending, group.KindOutcomeUnknown)
 		}
 		decision, err = d.instances[0].AwaitCommit(t.Context(), position)
 		if decision != group.NotRun || err != nil {
 			t.Errorf("decision %s, error %v after a later term, want %s", decision, err, group.NotRun)
 		}
-		need := group.Requirement{Written: position}
-		if _, err = d.instances[0].AwaitFresh(t.Context(), need, group.Choice{}, time.Second); kindOf(err) != group.KindLost {
-			t.Errorf("read after a lost write: %v, want %s", err, group.KindLost)
+		need := group.ReadRequirement{Written: position}
+		if _, err = d.instances[0].AwaitFresh(t.Context(), need, group.ReplicaSelection{}, time.Second); kindOf(err) != group.KindWriteLost {
+			t.Errorf("read after a lost write: %v, want %s", err, group.KindWriteLost)
 		}
 	})
 }
--- a/group/detector.go
+++ b/group/detector.go
@@ -35,26 +35,26 @@
 
 // Reasons of judgements.
 const (
-	// ReasonInstances means that a majority of live instances gets no answer.
-	ReasonInstances Reason = "InstancesSilent"
+	// ReasonInstancesSilent means that a majority of live instances gets no answer.
+	ReasonInstancesSilent Reason = "InstancesSilent"
 	// ReasonNone means that the primary is healthy.
 	ReasonNone Reason = "None"
 	// ReasonNoPrimary means that no server leads the newest promised term.
 	ReasonNoPrimary Reason = "NoPrimary"
 	// ReasonNoMajority means that too few servers answer this instance.
 	ReasonNoMajority Reason = "NoMajority"
-	// ReasonPromise means that a server promised a later term to a promoter
+	// ReasonPromiseAhead means that a server promised a later term to a promoter
 	// that gave up. It takes no entry of the present primary any more.
-	ReasonPromise Reason = "PromiseAhead"
-	// ReasonReplicas means that a majority of servers lost the primary.
-	ReasonReplicas Reason = "ReplicasSilent"
+	ReasonPromiseAhead Reason = "PromiseAhead"
+	// ReasonReplicasSilent means that a majority of servers lost the primary.
+	ReasonReplicasSilent Reason = "ReplicasSilent"
 )
 
 // SuspicionReport says that an instance gets no answer from a primary.
 type SuspicionReport struct {
 	Instance fleet.InstanceID
 	// Received is the time at which the report arrived.
-	Received time.Time
+	ReceivedAt time.Time
 	// Silence is the time for which the primary left requests unanswered.
 	Silence time.Duration
 	Term    fleet.Term
@@ -69,7 +69,7 @@
 	// Silence is the time for which the primary has left requests unanswered.
 	Silence time.Duration
 	// Suspected is the time at which the present suspicion began.
-	Suspected time.Time
+	SuspectedAt time.Time
 	// Term is the term of the primary that is judged.
 	Term fleet.Term
 }
@@ -113,7 +113,7 @@
 	} else if d.suspected.IsZero() {
 		d.suspected = now
 	}
-	detection.Suspected = d.suspected
+	detection.SuspectedAt = d.suspected
 	detection.NextPoll = now.Add(d.settings.PollInterval)
 	if detection.Health != Healthy {
 		detection.NextPoll = now.Add(d.settings.SuspectInterval)
@@ -142,7 +142,7 @@
 		return
 	}
 	// A growing promise shows a promoter at work.
-	if promised := view.Promised(); d.leaderless.IsZero() || promised > d.promised {
+	if promised := view.HighestPromisedTerm(); d.leaderless.IsZero() || promised > d.promised {
 		d.leaderless, d.promised = now, promised
 	}
 }
@@ -150,7 +150,7 @@
 func (d *Detector) judge(now time.Time, view View, reports []SuspicionReport, live int, out *Detection) {
 	silent, failed := d.replicas(now, view)
 	switch {
-	case view.Heard(d.recent(now)) < view.Majority():
+	case view.RespondedSince(d.recent(now)) < view.Majority():
 		out.Health, out.Reason = Suspected, ReasonNoMajority
 	case view.Primary == "":
 		out.Health, out.Reason = Suspected, ReasonNoPrimary
@@ -158,15 +158,15 @@
 			out.Health = Failed
 		}
 	case failed >= view.Majority():
-		out.Health, out.Reason = Failed, ReasonReplicas
+		out.Health, out.Reason = Failed, ReasonReplicasSilent
 	case d.instancesSilent(now, view, reports, live, out.Silence):
-		out.Health, out.Reason = Failed, ReasonInstances
+		out.Health, out.Reason = Failed, ReasonInstancesSilent
 	case silent > 0:
-		out.Health, out.Reason = Suspected, ReasonReplicas
+		out.Health, out.Reason = Suspected, ReasonReplicasSilent
 	case out.Silence >= d.suspectTime():
-		out.Health, out.Reason = Suspected, ReasonInstances
+		out.Health, out.Reason = Suspected, ReasonInstancesSilent
 	case d.promiseAhead(now, view):
-		out.Health, out.Reason = Suspected, ReasonPromise
+		out.Health, out.Reason = Suspected, ReasonPromiseAhead
 	}
 }
 
@@ -182,7 +182,7 @@
 	}
 	n := 1
 	for i, report := range reports {
-		if report.Term != view.Term || report.Silence < limit || report.Received.Before(d.trustedSince) {
+		if report.Term != view.Term || report.Silence < limit || report.ReceivedAt.Before(d.trustedSince) {
 			continue
 		}
 		if !reportedBefore(reports[:i], report.Instance) {
@@ -197,7 +197,7 @@
 func (d *Detector) inContact(now time.Time, view View) bool {
 	n := 1
 	for _, server := range view.Servers {
-		if server.Server != view.Primary && server.Heard(d.recent(now)) &&
+		if server.Server != view.Primary && server.RespondedSince(d.recent(now)) &&
 			server.Status.Term == view.Term && server.Status.PrimaryContact < d.suspectTime() {
 			n++
 		}
@@ -209,7 +209,7 @@
 // that of the primary.
 func (d *Detector) promiseAhead(now time.Time, view View) bool {
 	for _, server := range view.Servers {
-		if server.Heard(d.recent(now)) && server.Status.PromisedTerm > view.Term {
+		if server.RespondedSince(d.recent(now)) && server.Status.PromisedTerm > view.Term {
 			return true
 		}
 	}
@@ -233,13 +233,13 @@
 func (d *Detector) replicas(now time.Time, view View) (silent, failed int) {
 	var confirmed []confirmation
 	for _, server := range view.Servers {
-		if server.Server == view.Primary || !server.Heard(d.recent(now)) || d.contact(server, view) < d.suspectTime() {
+		if server.Server == view.Primary || !server.RespondedSince(d.recent(now)) || d.contact(server, view) < d.suspectTime() {
 			continue
 		}
 		silent++
 		first := d.firstSilence(server)
 		confirmed = append(confirmed, first)
-		if d.contact(server, view) >= d.settings.DetectTime && server.Asked.After(first.asked) {
+		if d.contact(server, view) >= d.settings.DetectTime && server.RequestedAt.After(first.asked) {
 			failed++
 		}
 	}
@@ -254,7 +254,7 @@
 	if server.Status.Term == view.Term {
 		return server.Status.PrimaryContact
 	}
-	return min(server.Status.PrimaryContact, server.Asked.Sub(d.termSince))
+	return min(server.Status.PrimaryContact, server.RequestedAt.Sub(d.termSince))
 }
 
 func (d *Detector) firstSilence(server ServerView) confirmation {
@@ -263,7 +263,7 @@
 			return known
 		}
 	}
-	return confirmation{asked: server.Asked, server: server.Server}
+	return confirmation{asked: server.RequestedAt, server: server.Server}
 }
 
 // silence returns the time since the first request that the primary left
--- a/group/detector_test.go
+++ b/group/detector_test.go
@@ -38,12 +38,12 @@
 
 func (r *detectorRun) observe(id fleet.ServerID, answers bool, contact time.Duration) {
 	if !answers {
-		r.view = r.view.Fail(id, r.now)
+		r.view = r.view.RecordFailure(id, r.now)
 		return
 	}
 	server, _ := r.view.Server(id)
 	server.Status.PrimaryContact = contact
-	r.view = r.view.Observe(group.Observation{Answered: r.now, Asked: r.now, Server: id, Status: server.Status})
+	r.view = r.view.Observe(group.Observation{RespondedAt: r.now, RequestedAt: r.now, Server: id, Status: server.Status})
 }
 
 // run steps until the end and returns the last judgement.
@@ -52,7 +52,7 @@
 	for past := time.Duration(0); past <= d; past += 50 * time.Millisecond {
 		b, c := contact(past)
 		for i := range reports {
-			reports[i].Received = r.now
+			reports[i].ReceivedAt = r.now
 		}
 		last = r.step(50*time.Millisecond, primary, b, c, reports...)
 	}
@@ -83,15 +83,15 @@
 		reason  group.Reason
 	}{
 		{"Healthy", short, true, heard, nil, group.Healthy, group.ReasonNone},
-		{"Crash", short, false, silent, nil, group.Failed, group.ReasonReplicas},
-		{"CutOffPrimary", short, true, silent, nil, group.Failed, group.ReasonReplicas},
-		{"OneReplicaSilent", short, true, oneSilent, nil, group.Suspected, group.ReasonReplicas},
-		{"OnlyThisInstance", short, false, heard, nil, group.Suspected, group.ReasonInstances},
-		{"MostInstances", long, false, heard, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstances},
-		{"MostInstancesOneInContact", long, false, oneSilent, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstances},
-		{"MostInstancesWithoutContact", short, false, unconnected, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstances},
-		{"MostInstancesTooEarly", short, false, heard, []group.SuspicionReport{report("2", 1)}, group.Suspected, group.ReasonInstances},
-		{"ReportsOfOlderTerm", short, false, heard, []group.SuspicionReport{report("2", 0)}, group.Suspected, group.ReasonInstances},
+		{"Crash", short, false, silent, nil, group.Failed, group.ReasonReplicasSilent},
+		{"CutOffPrimary", short, true, silent, nil, group.Failed, group.ReasonReplicasSilent},
+		{"OneReplicaSilent", short, true, oneSilent, nil, group.Suspected, group.ReasonReplicasSilent},
+		{"OnlyThisInstance", short, false, heard, nil, group.Suspected, group.ReasonInstancesSilent},
+		{"MostInstances", long, false, heard, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstancesSilent},
+		{"MostInstancesOneInContact", long, false, oneSilent, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstancesSilent},
+		{"MostInstancesWithoutContact", short, false, unconnected, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstancesSilent},
+		{"MostInstancesTooEarly", short, false, heard, []group.SuspicionReport{report("2", 1)}, group.Suspected, group.ReasonInstancesSilent},
+		{"ReportsOfOlderTerm", short, false, heard, []group.SuspicionReport{report("2", 0)}, group.Suspected, group.ReasonInstancesSilent},
 		{"PrimaryAnswers", short, true, heard, []group.SuspicionReport{report("2", 1), report("3", 1)}, group.Healthy, group.ReasonNone},
 		{"NoMajority", short, false, unheard, []group.SuspicionReport{report("2", 1), report("3", 1)}, group.Suspected, group.ReasonNoMajority},
 	} {
--- a/group/detecttime_test.go
+++ b/group/detecttime_test.go
@@ -113,7 +113,7 @@
 	id := t.view.Servers[i].Server
 	if t.now.Sub(asked) >= t.settings.PollTimeout {
 		t.inFlight[i] = time.Time{}
-		t.view = t.view.Fail(id, asked)
+		t.view = t.view.RecordFailure(id, asked)
 		return
 	}
 	if t.isPaused(i) || (i == 0 && t.crashed) || (t.now.Sub(asked) == trialStep && t.lost()) {
@@ -124,7 +124,7 @@
 	if i > 0 {
 		status.PrimaryContact = t.now.Sub(t.contact[i])
 	}
-	t.view = t.view.Observe(group.Observation{Answered: t.now, Asked: asked, Server: id, Status: status})
+	t.view = t.view.Observe(group.Observation{RespondedAt: t.now, RequestedAt: asked, Server: id, Status: status})
 }
 
 // falseAlarms returns how often a healthy primary was judged failed.
--- a/group/error.go
+++ b/group/error.go
@@ -7,16 +7,16 @@
 
 // Kinds of errors.
 const (
-	// KindLost means that a position is not part of the group's history.
-	KindLost ErrorKind = "Lost"
+	// KindWriteLost means that a position is not part of the group's history.
+	KindWriteLost ErrorKind = "Lost"
 	// KindNoMajority means that too few servers answered.
 	KindNoMajority ErrorKind = "NoMajority"
 	// KindNoPrimary means that no primary was known in time.
 	KindNoPrimary ErrorKind = "NoPrimary"
 	// KindStale means that no server was fresh enough in time.
 	KindStale ErrorKind = "Stale"
-	// KindUnknown means that the outcome of a write was not known in time.
-	KindUnknown ErrorKind = "Unknown"
+	// KindOutcomeUnknown means that the outcome of a write was not known in time.
+	KindOutcomeUnknown ErrorKind = "Unknown"
 )
 
 // Error is the error of this package.
--- a/group/evidence.go
+++ b/group/evidence.go
@@ -26,10 +26,10 @@
 	if p.IsZero() || countReceipts(view, p) >= view.Majority() {
 		return Committed
 	}
-	if view.Settled.LastTerm() <= p.Term {
+	if view.EstablishedHistory.LastTerm() <= p.Term {
 		return Pending
 	}
-	if view.Settled.Contains(p) {
+	if view.EstablishedHistory.Contains(p) {
 		return Committed
 	}
 	return NotRun
--- a/group/evidence_test.go
+++ b/group/evidence_test.go
@@ -170,14 +170,14 @@
 			}
 		case group.NotRun:
 			if _, known := m.notRun[p]; !known {
-				m.notRun[p] = max(m.views[i].Settled.LastTerm(), p.Term)
+				m.notRun[p] = max(m.views[i].EstablishedHistory.LastTerm(), p.Term)
 			}
 		}
 		if _, lost := m.notRun[p]; lost && m.committed[p] > 0 {
 			return fmt.Errorf("%v was decided both committed and not run", p)
 		}
 	}
-	return m.checkSettled(m.views[i].Settled)
+	return m.checkSettled(m.views[i].EstablishedHistory)
 }
 
 // checkSettled checks the history of an established term against all decisions.
@@ -208,7 +208,7 @@
 	if n >= view.Majority() {
 		return p.Term
 	}
-	return max(p.Term, view.Settled.LastTerm())
+	return max(p.Term, view.EstablishedHistory.LastTerm())
 }
 
 // commit notes a decision and looks for another entry at the same place.
--- a/group/freshness.go
+++ b/group/freshness.go
@@ -6,8 +6,8 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Requirement says what a read must see.
-type Requirement struct {
+// ReadRequirement says what a read must see.
+type ReadRequirement struct {
 	// MaxAge is the largest age of the data; zero means no bound.
 	MaxAge time.Duration
 	// Seen is the newest position that the session has read.
@@ -16,16 +16,16 @@
 	Written fleet.Position
 }
 
-// Fresh reports whether reads on a server are known to see all the positions.
+// IsFresh reports whether reads on a server are known to see all the positions.
 // The server's applied log must be part of the group's history, so that a
 // server that was cut off does not serve entries that are lost.
-func Fresh(view View, server fleet.ServerID, positions ...fleet.Position) bool {
+func IsFresh(view View, server fleet.ServerID, positions ...fleet.Position) bool {
 	i := view.index(server)
 	return i >= 0 && fresh(&view, &view.Servers[i], positions...)
 }
 
 func fresh(view *View, server *ServerView, positions ...fleet.Position) bool {
-	if server.Answered.IsZero() {
+	if server.RespondedAt.IsZero() {
 		return false
 	}
 	for _, position := range positions {
@@ -39,21 +39,21 @@
 // IsLost reports whether a position is certainly not part of the group's
 // history. A session that wrote it can never be served.
 func IsLost(view View, p fleet.Position) bool {
-	return view.Settled.LastTerm() > p.Term && !view.Settled.Contains(p)
+	return view.EstablishedHistory.LastTerm() > p.Term && !view.EstablishedHistory.Contains(p)
 }
 
-// CutBack returns a position that a session has read, cut back to the fork
+// TruncateToForkPoint returns a position that a session has read, cut back to the fork
 // point if what lies beyond was lost.
-func CutBack(view View, seen fleet.Position) fleet.Position {
+func TruncateToForkPoint(view View, seen fleet.Position) fleet.Position {
 	if !IsLost(view, seen) {
 		return seen
 	}
 	var last fleet.Position
-	for i, start := range view.Settled {
-		if start.Term > seen.Term || i+1 == len(view.Settled) {
+	for i, start := range view.EstablishedHistory {
+		if start.Term > seen.Term || i+1 == len(view.EstablishedHistory) {
 			break
 		}
-		last = fleet.Position{Log: view.Settled[i+1].First - 1, Term: start.Term}
+		last = fleet.Position{Log: view.EstablishedHistory[i+1].First - 1, Term: start.Term}
 	}
 	return last
 }
@@ -73,9 +73,9 @@
 // coversAge reports whether a server is known to have applied a sample that
 // began at or after since.
 func coversAge(view *View, server *ServerView, since time.Time) bool {
-	for i := range view.Samples {
-		sample := view.Samples[len(view.Samples)-1-i]
-		if sample.Begun.Before(since) {
+	for i := range view.ConfirmedPositions {
+		sample := view.ConfirmedPositions[len(view.ConfirmedPositions)-1-i]
+		if sample.RoundStart.Before(since) {
 			return false
 		}
 		if covers(view, server, sample.Position) {
@@ -90,8 +90,8 @@
 	if !view.History.Contains(end) {
 		return false
 	}
-	for _, sample := range view.Samples {
-		if !sample.Begun.Before(since) && view.History.Contains(sample.Position) && end.Compare(sample.Position) >= 0 {
+	for _, sample := range view.ConfirmedPositions {
+		if !sample.RoundStart.Before(since) && view.History.Contains(sample.Position) && end.Compare(sample.Position) >= 0 {
 			return true
 		}
 	}
--- a/group/freshness_test.go
+++ b/group/freshness_test.go
@@ -20,7 +20,7 @@
 type freshModel struct {
 	*evidenceModel
 	// newest lists the end of the acknowledged log over time.
-	newest []group.Sample
+	newest []group.ConfirmedPosition
 }
 
 func (m *freshModel) advance() error {
@@ -33,7 +33,7 @@
 			end = p
 		}
 	}
-	m.newest = append(m.newest, group.Sample{Begun: m.now, Position: end})
+	m.newest = append(m.newest, group.ConfirmedPosition{RoundStart: m.now, Position: end})
 	return nil
 }
 
@@ -41,7 +41,7 @@
 func (m *freshModel) acknowledgedBy(at time.Time) fleet.Position {
 	var end fleet.Position
 	for _, sample := range m.newest {
-		if !sample.Begun.After(at) {
+		if !sample.RoundStart.After(at) {
 			end = sample.Position
 		}
 	}
@@ -66,19 +66,19 @@
 
 func (m *freshModel) check(t *rapid.T, random *rand.Rand) {
 	view := m.views[random.IntN(len(m.views))]
-	need := group.Requirement{MaxAge: time.Duration(random.IntN(60)) * time.Millisecond}
+	need := group.ReadRequirement{MaxAge: time.Duration(random.IntN(60)) * time.Millisecond}
 	if len(m.written) > 0 {
 		need.Written = m.written[random.IntN(len(m.written))]
 		need.Seen = m.written[random.IntN(len(m.written))]
 	}
-	choice := group.Choice{Random: random, Strategy: strategies[random.IntN(len(strategies))]}
+	choice := group.ReplicaSelection{Random: random, Strategy: strategies[random.IntN(len(strategies))]}
 	for _, id := range group.ReadCandidates(m.now, view, need, choice) {
 		server, _ := view.Server(id)
 		history := server.Status.History
 		if id != view.Primary && !history.Contains(need.Written) {
 			t.Fatalf("%s lacks %v", id, need.Written)
 		}
-		if seen := group.CutBack(view, need.Seen); id != view.Primary && !history.Contains(seen) {
+		if seen := group.TruncateToForkPoint(view, need.Seen); id != view.Primary && !history.Contains(seen) {
 			t.Fatalf("%s lacks %v", id, seen)
 		}
 		if need.MaxAge == 0 {
@@ -115,7 +115,7 @@
 		if id == "a" {
 			status.Role = group.RolePrimary
 		}
-		view = view.Observe(group.Observation{Answered: now, Asked: now.Add(-time.Millisecond), Server: id, Status: status})
+		view = view.Observe(group.Observation{RespondedAt: now, RequestedAt: now.Add(-time.Millisecond), Server: id, Status: status})
 	}
 	return view
 }
@@ -128,17 +128,17 @@
 	busy := []group.Load{{Outstanding: 2, Server: "b"}, {Outstanding: 1, Server: "c"}}
 	for _, tc := range []struct {
 		name   string
-		choice group.Choice
-		need   group.Requirement
+		choice group.ReplicaSelection
+		need   group.ReadRequirement
 		want   []fleet.ServerID
 	}{
-		{"LeastBusyFirst", group.Choice{Loads: busy, Strategy: group.FreshnessDistance}, group.Requirement{}, []fleet.ServerID{"c", "b", "a"}},
-		{"NearestFirst", group.Choice{Placement: group.Placement{Local: "3"}, Strategy: group.FreshnessDistance}, group.Requirement{}, []fleet.ServerID{"c", "b", "a"}},
-		{"OnlyFresh", group.Choice{Strategy: group.FreshnessDistance}, group.Requirement{Written: fleet.Position{Log: 15, Term: 1}}, []fleet.ServerID{"b", "a"}},
-		{"NotLeaving", group.Choice{Placement: group.Placement{Leaving: []fleet.ServerID{"b"}}, Strategy: group.FreshnessDistance}, group.Requirement{}, []fleet.ServerID{"c", "a"}},
-		{"NotOutOfService", group.Choice{Placement: group.Placement{OutOfService: []fleet.DataCentre{"3"}}, Strategy: group.FreshnessDistance}, group.Requirement{}, []fleet.ServerID{"b", "a"}},
-		{"TooOld", group.Choice{Strategy: group.FreshnessDistance}, group.Requirement{MaxAge: time.Microsecond}, []fleet.ServerID{}},
-		{"UnknownTerm", group.Choice{Strategy: group.FreshnessDistance}, group.Requirement{Written: fleet.Position{Log: 1, Term: 2}}, []fleet.ServerID{}},
+		{"LeastBusyFirst", group.ReplicaSelection{Loads: busy, Strategy: group.FreshnessDistance}, group.ReadRequirement{}, []fleet.ServerID{"c", "b", "a"}},
+		{"NearestFirst", group.ReplicaSelection{Placement: group.Placement{Local: "3"}, Strategy: group.FreshnessDistance}, group.ReadRequirement{}, []fleet.ServerID{"c", "b", "a"}},
+		{"OnlyFresh", group.ReplicaSelection{Strategy: group.FreshnessDistance}, group.ReadRequirement{Written: fleet.Position{Log: 15, Term: 1}}, []fleet.ServerID{"b", "a"}},
+		{"NotLeaving", group.ReplicaSelection{Placement: group.Placement{Leaving: []fleet.ServerID{"b"}}, Strategy: group.FreshnessDistance}, group.ReadRequirement{}, []fleet.ServerID{"c", "a"}},
+		{"NotOutOfService", group.ReplicaSelection{Placement: group.Placement{OutOfService: []fleet.DataCentre{"3"}}, Strategy: group.FreshnessDistance}, group.ReadRequirement{}, []fleet.ServerID{"b", "a"}},
+		{"TooOld", group.ReplicaSelection{Strategy: group.FreshnessDistance}, group.ReadRequirement{MaxAge: time.Microsecond}, []fleet.ServerID{}},
+		{"UnknownTerm", group.ReplicaSelection{Strategy: group.FreshnessDistance}, group.ReadRequirement{Written: fleet.Position{Log: 1, Term: 2}}, []fleet.ServerID{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if diff := cmp.Diff(tc.want, group.ReadCandidates(now, view, tc.need, tc.choice)); diff != "" {
@@ -151,7 +151,7 @@
 // TestLostPositionsAreCutBack guards against sessions that wait for ever for a
 // position that was lost in a change of primary.
 func TestLostPositionsAreCutBack(t *testing.T) {
-	view := group.View{Settled: fleet.History{{First: 1, Term: 1}, {First: 11, Term: 3}}}
+	view := group.View{EstablishedHistory: fleet.History{{First: 1, Term: 1}, {First: 11, Term: 3}}}
 	for _, tc := range []struct {
 		position, want fleet.Position
 	}{
@@ -161,7 +161,7 @@
 		{fleet.Position{Log: 99, Term: 3}, fleet.Position{Log: 99, Term: 3}},
 		{fleet.Position{Log: 99, Term: 4}, fleet.Position{Log: 99, Term: 4}},
 	} {
-		if diff := cmp.Diff(tc.want, group.CutBack(view, tc.position)); diff != "" {
+		if diff := cmp.Diff(tc.want, group.TruncateToForkPoint(view, tc.position)); diff != "" {
 			t.Errorf("CutBack(%v) (-want +got):\n%s", tc.position, diff)
 		}
 		if got, want := group.IsLost(view, tc.position), tc.position != tc.want; got != want {
--- a/group/model_test.go
+++ b/group/model_test.go
@@ -45,7 +45,7 @@
 
 // observation returns an answer of the server.
 func (s *modelServer) observation(asked, answered time.Time) group.Observation {
-	return group.Observation{Answered: answered, Asked: asked, Server: s.id, Status: s.status(answered)}
+	return group.Observation{RespondedAt: answered, RequestedAt: asked, Server: s.id, Status: s.status(answered)}
 }
 
 // write appends an entry if the server leads.
--- a/group/placement.go
+++ b/group/placement.go
@@ -16,8 +16,8 @@
 	OutOfService []fleet.DataCentre
 }
 
-// IsTarget reports whether a server may get new work or become primary by plan.
-func (p Placement) IsTarget(member Member) bool {
+// IsEligible reports whether a server may get new work or become primary by plan.
+func (p Placement) IsEligible(member Member) bool {
 	return !p.isLeaving(member) && !p.isOut(member)
 }
 
--- a/group/promoter.go
+++ b/group/promoter.go
@@ -59,8 +59,8 @@
 	Timeout time.Duration
 }
 
-// Answer is the outcome of a Call.
-type Answer struct {
+// CallResult is the outcome of a Call.
+type CallResult struct {
 	Call Call
 	// Failed means that the call returned an error. It may have taken effect.
 	Failed bool
@@ -75,24 +75,24 @@
 	// Attempts counts the terms that were tried.
 	Attempts int
 	// Decided is the time at which the first fence was ordered.
-	Decided time.Time
+	DecidedAt time.Time
 	// Detected is the time at which the failure or the request was seen.
-	Detected time.Time
+	DetectedAt time.Time
 	// Established is the time at which a majority was known to hold the term.
-	Established time.Time
+	EstablishedAt time.Time
 	// Fenced is the time at which a majority had promised the last term.
-	Fenced   time.Time
+	FencedAt time.Time
 	Group    fleet.GroupID
 	Handover bool
 	// OldTerm is the term of the primary that was replaced.
 	OldTerm fleet.Term
 	// Promoted is the time at which the chosen server confirmed.
-	Promoted time.Time
-	Reason   Reason
-	Server   fleet.ServerID
+	PromotedAt time.Time
+	Reason     Reason
+	Server     fleet.ServerID
 	// Suspected is the time at which the suspicion began.
-	Suspected time.Time
-	Term      fleet.Term
+	SuspectedAt time.Time
+	Term        fleet.Term
 }
 
 // PromoterInput is what a promoter decides on besides its own state.
@@ -113,7 +113,7 @@
 	Record *PromotionRecord
 	// Wake is the time of the next step that is due without an answer. Zero
 	// means none.
-	Wake time.Time
+	NextStep time.Time
 }
 
 // grant is a promise of the current attempt.
@@ -175,7 +175,7 @@
 
 // Handover asks for a planned change of primary. It replaces a request that
 // has not begun.
-func (p *Promoter) Handover(request HandoverRequest) {
+func (p *Promoter) QueueHandover(request HandoverRequest) {
 	p.handover = &request
 }
 
@@ -185,12 +185,12 @@
 }
 
 // Pending reports whether a requested handover has not begun.
-func (p *Promoter) Pending() bool {
+func (p *Promoter) HandoverPending() bool {
 	return p.handover != nil
 }
 
 // Step advances the promoter by an answer, or by the time alone if answer is nil.
-func (p *Promoter) Step(in PromoterInput, answer *Answer) PromoterOutput {
+func (p *Promoter) Step(in PromoterInput, answer *CallResult) PromoterOutput {
 	var out PromoterOutput
 	p.majority = in.View.Majority()
 	if answer != nil {
@@ -198,7 +198,7 @@
 	}
 	p.advance(in, &out)
 	p.repeat(in, &out)
-	out.Wake = p.wake()
+	out.NextStep = p.wake()
 	return out
 }
 
@@ -245,7 +245,7 @@
 		p.drain(in, in.View.Primary, out)
 		return
 	}
-	if target := handoverTarget(in, *p.handover, p.settings.HandoverLag); target != "" {
+	if target := handoverTarget(in, *p.handover, p.settings.MaxHandoverLag); target != "" {
 		p.drain(in, target, out)
 	}
 }
@@ -258,8 +258,8 @@
 		p.avoid = in.View.Primary
 	}
 	p.record = PromotionRecord{
-		Detected: in.Now, Group: p.group, Handover: handover, OldTerm: in.View.Term,
-		Reason: reason, Suspected: in.Detection.Suspected,
+		DetectedAt: in.Now, Group: p.group, Handover: handover, OldTerm: in.View.Term,
+		Reason: reason, SuspectedAt: in.Detection.SuspectedAt,
 	}
 }
 
@@ -294,12 +294,12 @@
 
 // nextTerm opens an attempt at a term above all that are known.
 func (p *Promoter) nextTerm(in PromoterInput) {
-	p.term = max(p.term, in.View.Promised()) + 1
+	p.term = max(p.term, in.View.HighestPromisedTerm()) + 1
 	p.failures, p.grants, p.refused, p.retries = 0, nil, nil, nil
 	p.record.Attempts++
 	p.record.Term = p.term
-	if p.record.Decided.IsZero() {
-		p.record.Decided = in.Now
+	if p.record.DecidedAt.IsZero() {
+		p.record.DecidedAt = in.Now
 	}
 }
 
@@ -320,7 +320,7 @@
 }
 
 // answered handles an answer to a call of the current attempt.
-func (p *Promoter) answered(in PromoterInput, answer Answer, out *PromoterOutput) {
+func (p *Promoter) answered(in PromoterInput, answer CallResult, out *PromoterOutput) {
 	if answer.Call.Term != p.term {
 		return
 	}
@@ -336,7 +336,7 @@
 	}
 }
 
-func (p *Promoter) fenceAnswered(in PromoterInput, answer Answer, out *PromoterOutput) {
+func (p *Promoter) fenceAnswered(in PromoterInput, answer CallResult, out *PromoterOutput) {
 	if p.phase != PhaseFence && p.phase != PhaseDrain {
 		return
 	}
@@ -383,7 +383,7 @@
 	}
 	best := slices.MaxFunc(candidates, func(a, b grant) int { return p.compare(in, a, b) })
 	p.chosen = best.server
-	p.record.Fenced, p.record.Server = in.Now, best.server
+	p.record.FencedAt, p.record.Server = in.Now, best.server
 	p.phase, p.deadline = PhasePromote, in.Now.Add(p.settings.StepTimeout)
 	p.retries = nil
 	out.Calls = append(out.Calls, Call{
@@ -437,7 +437,7 @@
 	return weight
 }
 
-func (p *Promoter) promoteAnswered(in PromoterInput, answer Answer, out *PromoterOutput) {
+func (p *Promoter) promoteAnswered(in PromoterInput, answer CallResult, out *PromoterOutput) {
 	if p.phase != PhasePromote {
 		return
 	}
@@ -452,7 +452,7 @@
 		p.backOff(in)
 	default:
 		p.phase, p.deadline = PhaseEstablish, in.Now.Add(p.settings.EstablishTimeout)
-		p.record.Promoted = in.Now
+		p.record.PromotedAt = in.Now
 		p.awaitStart(in, status.Log, out)
 	}
 }
@@ -472,8 +472,8 @@
 // establish ends the promotion when the term, or a later one, is established.
 func (p *Promoter) establish(in PromoterInput, out *PromoterOutput) {
 	switch {
-	case in.View.Settled.LastTerm() == p.term:
-		p.record.Established = in.Now
+	case in.View.EstablishedHistory.LastTerm() == p.term:
+		p.record.EstablishedAt = in.Now
 		record := p.record
 		out.Record = &record
 		p.stop()
@@ -569,7 +569,7 @@
 	var best ServerView
 	since := in.Now.Add(-lag)
 	for _, server := range in.View.Servers {
-		if server.Server == in.View.Primary || !in.Placement.IsTarget(server.Member) || !server.Heard(since) {
+		if server.Server == in.View.Primary || !in.Placement.IsEligible(server.Member) || !server.RespondedSince(since) {
 			continue
 		}
 		if !coversSample(in.View, server.Status.Log, since) {
@@ -594,11 +594,11 @@
 	if !found || in.Rank != 0 || !in.View.Established {
 		return "", false
 	}
-	if !in.Placement.IsTarget(primary.Member) {
+	if !in.Placement.IsEligible(primary.Member) {
 		return "", slices.ContainsFunc(in.View.Servers, func(s ServerView) bool {
-			return s.Server != primary.Server && in.Placement.IsTarget(s.Member)
+			return s.Server != primary.Server && in.Placement.IsEligible(s.Member)
 		})
 	}
-	ahead := in.Detection.Reason == ReasonPromise && in.Now.Sub(in.Detection.Suspected) >= delay
+	ahead := in.Detection.Reason == ReasonPromiseAhead && in.Now.Sub(in.Detection.SuspectedAt) >= delay
 	return primary.Server, ahead
 }
--- a/group/promoter_test.go
+++ b/group/promoter_test.go
@@ -24,7 +24,7 @@
 
 // message is a call on its way to a server, or an answer on its way back.
 type message struct {
-	answer *group.Answer
+	answer *group.CallResult
 	asked  time.Time
 	call   group.Call
 	due    time.Time
@@ -190,8 +190,8 @@
 			s = known
 		}
 	}
-	holder := group.Holder(m.rivals[msg.rival].id, msg.epoch)
-	answer := &group.Answer{Call: msg.call}
+	holder := group.PromiseHolder(m.rivals[msg.rival].id, msg.epoch)
+	answer := &group.CallResult{Call: msg.call}
 	switch msg.call.Kind {
 	case group.CallFence:
 		answer.Granted = s.fence(msg.call.Term, holder)
@@ -214,7 +214,7 @@
 }
 
 func (m *rivalModel) answered(msg message) error {
-	o := group.Observation{Answered: m.now, Asked: msg.asked, Server: msg.server, Status: msg.status}
+	o := group.Observation{RespondedAt: m.now, RequestedAt: msg.asked, Server: msg.server, Status: msg.status}
 	if !msg.answer.Failed {
 		if err := m.observe(msg.rival, o); err != nil {
 			return err
@@ -226,7 +226,7 @@
 	return nil
 }
 
-func (m *rivalModel) step(n int, answer *group.Answer) {
+func (m *rivalModel) step(n int, answer *group.CallResult) {
 	r := m.rivals[n]
 	in := group.PromoterInput{
 		Detection: r.detector.Step(m.now, m.views[n], nil, len(m.rivals)),
@@ -321,15 +321,15 @@
 	now := time.Unix(1000, 0)
 	settings := group.DefaultSettings()
 	in := group.PromoterInput{
-		Detection: group.Detection{Health: group.Failed, Reason: group.ReasonReplicas}, Now: now, Rank: 2,
+		Detection: group.Detection{Health: group.Failed, Reason: group.ReasonReplicasSilent}, Now: now, Rank: 2,
 		View: healthyView(now, map[fleet.ServerID]fleet.LogPosition{"a": 1, "b": 1, "c": 1}),
 	}
 	promoter := group.NewPromoter("g", settings)
 	out := promoter.Step(in, nil)
-	if want := now.Add(2 * settings.RankDelay); len(out.Calls) > 0 || !out.Wake.Equal(want) {
-		t.Errorf("%d calls, wake %v, want none and %v", len(out.Calls), out.Wake, want)
+	if want := now.Add(2 * settings.RankDelay); len(out.Calls) > 0 || !out.NextStep.Equal(want) {
+		t.Errorf("%d calls, wake %v, want none and %v", len(out.Calls), out.NextStep, want)
 	}
-	in.Now = out.Wake
+	in.Now = out.NextStep
 	in.Detection.Health = group.Healthy
 	if out = promoter.Step(in, nil); len(out.Calls) > 0 || promoter.Phase() != group.PhaseIdle {
 		t.Errorf("%d calls in phase %s after the primary recovered", len(out.Calls), promoter.Phase())
--- a/group/rank.go
+++ b/group/rank.go
@@ -6,10 +6,10 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Holder returns the name under which one run of an instance takes promises.
+// PromiseHolder returns the name under which one run of an instance takes promises.
 // A restarted instance has another epoch, so it never uses a promise that its
 // earlier run may already have used to promote a server.
-func Holder(instance fleet.InstanceID, epoch fleet.Epoch) fleet.InstanceID {
+func PromiseHolder(instance fleet.InstanceID, epoch fleet.Epoch) fleet.InstanceID {
 	return instance + "@" + fleet.InstanceID(strconv.FormatUint(uint64(epoch), 16))
 }
 
--- a/group/strategy.go
+++ b/group/strategy.go
@@ -40,8 +40,8 @@
 	Server      fleet.ServerID
 }
 
-// Choice says how to order the candidates of a read.
-type Choice struct {
+// ReplicaSelection says how to order the candidates of a read.
+type ReplicaSelection struct {
 	Loads     []Load
 	Placement Placement
 	// Random must be set, except for FreshnessDistance, which without it orders
@@ -51,7 +51,7 @@
 }
 
 // outstanding returns the number of requests running on a server.
-func (c Choice) outstanding(server fleet.ServerID) int {
+func (c ReplicaSelection) outstanding(server fleet.ServerID) int {
 	for _, load := range c.Loads {
 		if load.Server == server {
 			return load.Outstanding
@@ -64,8 +64,8 @@
 // the order in which to try them. Servers that do not answer and replicas that
 // are not targets by placement are excluded. The primary comes last if it qualifies. The result is empty if
 // no server is known to see enough.
-func ReadCandidates(now time.Time, view View, need Requirement, choice Choice) []fleet.ServerID {
-	seen := CutBack(view, need.Seen)
+func ReadCandidates(now time.Time, view View, need ReadRequirement, choice ReplicaSelection) []fleet.ServerID {
+	seen := TruncateToForkPoint(view, need.Seen)
 	var buffer [usualServers]*ServerView
 	replicas := buffer[:0]
 	primary := false
@@ -79,7 +79,7 @@
 		}
 		if server.Server == view.Primary {
 			primary = true
-		} else if choice.Placement.IsTarget(server.Member) {
+		} else if choice.Placement.IsEligible(server.Member) {
 			replicas = append(replicas, server)
 		}
 	}
@@ -94,12 +94,12 @@
 	return ids
 }
 
-func youngEnough(now time.Time, view *View, server *ServerView, need Requirement) bool {
+func youngEnough(now time.Time, view *View, server *ServerView, need ReadRequirement) bool {
 	return need.MaxAge <= 0 || coversAge(view, server, now.Add(-need.MaxAge))
 }
 
 // sort orders replicas by the strategy.
-func (c Choice) sort(replicas []*ServerView) {
+func (c ReplicaSelection) sort(replicas []*ServerView) {
 	if c.Random != nil || c.Strategy != FreshnessDistance {
 		c.Random.Shuffle(len(replicas), func(i, j int) { replicas[i], replicas[j] = replicas[j], replicas[i] })
 	}
@@ -115,12 +115,12 @@
 	}
 }
 
-func (c Choice) compareLoad(a, b *ServerView) int {
+func (c ReplicaSelection) compareLoad(a, b *ServerView) int {
 	return cmp.Compare(c.outstanding(a.Server), c.outstanding(b.Server))
 }
 
 // compareDistance prefers the own data centre, then the clearly shorter round trip.
-func (c Choice) compareDistance(a, b *ServerView) int {
+func (c ReplicaSelection) compareDistance(a, b *ServerView) int {
 	if local := c.Placement.isLocal(a.Member); local != c.Placement.isLocal(b.Member) {
 		if local {
 			return -1
--- a/group/view.go
+++ b/group/view.go
@@ -33,11 +33,11 @@
 // Observation is one answer of a server.
 type Observation struct {
 	// Answered is the time at which the answer arrived.
-	Answered time.Time
+	RespondedAt time.Time
 	// Asked is the time before the request was sent.
-	Asked  time.Time
-	Server fleet.ServerID
-	Status ServerStatus
+	RequestedAt time.Time
+	Server      fleet.ServerID
+	Status      ServerStatus
 }
 
 // Receipt says that a server received the log of a term up to a position
@@ -48,10 +48,10 @@
 	Position fleet.Position
 }
 
-// Sample is a position of the primary that was confirmed by a majority.
-type Sample struct {
+// ConfirmedPosition is a position of the primary that was confirmed by a majority.
+type ConfirmedPosition struct {
 	// Begun is the time before the earliest request of the round was sent.
-	Begun time.Time
+	RoundStart time.Time
 	// Position contains every write that was acknowledged before Begun.
 	Position fleet.Position
 }
@@ -61,9 +61,9 @@
 	Member
 	// Answered is the time at which Status arrived. It is zero before the
 	// first answer.
-	Answered time.Time
+	RespondedAt time.Time
 	// Asked is the time before the request for Status was sent.
-	Asked time.Time
+	RequestedAt time.Time
 	// FailingSince is the time before the first request that failed since the
 	// last answer. It is zero if none failed.
 	FailingSince time.Time
@@ -77,8 +77,8 @@
 }
 
 // Heard reports whether the server answered a request that began at or after since.
-func (s ServerView) Heard(since time.Time) bool {
-	return !s.Answered.IsZero() && !s.Asked.Before(since)
+func (s ServerView) RespondedSince(since time.Time) bool {
+	return !s.RespondedAt.IsZero() && !s.RequestedAt.Before(since)
 }
 
 // Reachable reports whether recent requests to the server succeeded.
@@ -88,7 +88,7 @@
 
 // fail notes a number of failures of a request, unless a later one was answered.
 func (s *ServerView) fail(asked time.Time, failures int) {
-	if asked.Before(s.Asked) {
+	if asked.Before(s.RequestedAt) {
 		return
 	}
 	s.Failures += failures
@@ -119,12 +119,12 @@
 	// gather a majority for its term.
 	Primary fleet.ServerID
 	// Samples lists confirmed positions of the primary, oldest first.
-	Samples []Sample
+	ConfirmedPositions []ConfirmedPosition
 	// Servers holds one entry for each configured server, ordered by id.
 	Servers []ServerView
 	// Settled is the history of the newest established term. All later
 	// established histories extend it.
-	Settled fleet.History
+	EstablishedHistory fleet.History
 	// Term is the newest term for which a primary or an established log is known.
 	Term fleet.Term
 }
@@ -140,22 +140,22 @@
 }
 
 // Fail returns the view after a request to a server failed.
-func (v View) Fail(server fleet.ServerID, asked time.Time) View {
+func (v View) RecordFailure(server fleet.ServerID, asked time.Time) View {
 	return v.change(server, func(s *ServerView) { s.fail(asked, 1) })
 }
 
 // Refuse returns the view after a connection to a server failed. The server is
 // not used for routing until it answers a request that began later.
-func (v View) Refuse(server fleet.ServerID, now time.Time) View {
+func (v View) MarkUnreachable(server fleet.ServerID, now time.Time) View {
 	return v.change(server, func(s *ServerView) { s.fail(now, unreachableFailures) })
 }
 
 // Heard returns the number of servers that answered a request that began at
 // or after since.
-func (v View) Heard(since time.Time) int {
+func (v View) RespondedSince(since time.Time) int {
 	n := 0
 	for _, server := range v.Servers {
-		if server.Heard(since) {
+		if server.RespondedSince(since) {
 			n++
 		}
 	}
@@ -172,15 +172,15 @@
 func (v View) Observe(o Observation) View {
 	return v.change(o.Server, func(s *ServerView) {
 		s.Receipts = addReceipt(s.Receipts, receiptOf(o.Status))
-		if !s.Answered.IsZero() && o.Asked.Before(s.Asked) {
+		if !s.RespondedAt.IsZero() && o.RequestedAt.Before(s.RequestedAt) {
 			return
 		}
-		took := o.Answered.Sub(o.Asked)
-		if s.Answered.IsZero() {
+		took := o.RespondedAt.Sub(o.RequestedAt)
+		if s.RespondedAt.IsZero() {
 			s.RoundTrip = took
 		}
 		s.RoundTrip = (s.RoundTrip*roundTripWeight + took) / (roundTripWeight + 1)
-		s.Answered, s.Asked, s.Status = o.Answered, o.Asked, o.Status
+		s.RespondedAt, s.RequestedAt, s.Status = o.RespondedAt, o.RequestedAt, o.Status
 		s.Failures, s.FailingSince = 0, time.Time{}
 	})
 }
@@ -223,14 +223,14 @@
 // when none is known, it does not answer, or its last status is older than maxAge.
 func (v View) PrimaryAt(now time.Time, maxAge time.Duration) (fleet.ServerID, fleet.Term, bool) {
 	primary, found := v.Server(v.Primary)
-	if !found || !primary.Reachable() || !primary.Heard(now.Add(-maxAge)) {
+	if !found || !primary.Reachable() || !primary.RespondedSince(now.Add(-maxAge)) {
 		return "", 0, false
 	}
 	return v.Primary, v.Term, true
 }
 
 // Promised returns the highest term that any server is known to have promised.
-func (v View) Promised() fleet.Term {
+func (v View) HighestPromisedTerm() fleet.Term {
 	term := v.Term
 	for _, server := range v.Servers {
 		term = max(term, server.Status.PromisedTerm, server.Status.Term)
@@ -284,7 +284,7 @@
 	if moved >= v.Majority() {
 		v.Primary = ""
 	}
-	v.Established = v.Term > 0 && v.Settled.LastTerm() == v.Term
+	v.Established = v.Term > 0 && v.EstablishedHistory.LastTerm() == v.Term
 }
 
 // sample derives a confirmed sample: the primary and enough others promised
@@ -296,22 +296,22 @@
 	}
 	var asked []time.Time
 	for _, server := range v.Servers {
-		if server.Server != v.Primary && !server.Answered.IsZero() && server.Status.PromisedTerm == v.Term {
-			asked = append(asked, server.Asked)
+		if server.Server != v.Primary && !server.RespondedAt.IsZero() && server.Status.PromisedTerm == v.Term {
+			asked = append(asked, server.RequestedAt)
 		}
 	}
 	others := v.Majority() - 1
 	if len(asked) < others {
 		return
 	}
-	begun := primary.Asked
+	begun := primary.RequestedAt
 	if others > 0 {
 		slices.SortFunc(asked, func(a, b time.Time) int { return b.Compare(a) })
 		if asked[others-1].Before(begun) {
 			begun = asked[others-1]
 		}
 	}
-	v.Samples = addSample(v.Samples, Sample{Begun: begun, Position: primary.Status.Log})
+	v.ConfirmedPositions = addSample(v.ConfirmedPositions, ConfirmedPosition{RoundStart: begun, Position: primary.Status.Log})
 }
 
 // settle derives the history of the newest established term.
@@ -319,13 +319,13 @@
 	for _, server := range v.Servers {
 		for _, receipt := range server.Receipts {
 			term := receipt.Position.Term
-			if term > v.Settled.LastTerm() && establishedTerm(*v, term) {
-				v.Settled = receipt.History
+			if term > v.EstablishedHistory.LastTerm() && establishedTerm(*v, term) {
+				v.EstablishedHistory = receipt.History
 			}
 		}
 	}
-	if term := v.Settled.LastTerm(); term > v.Term {
-		v.Term, v.History = term, v.Settled
+	if term := v.EstablishedHistory.LastTerm(); term > v.Term {
+		v.Term, v.History = term, v.EstablishedHistory
 	}
 }
 
@@ -351,12 +351,12 @@
 
 // addSample returns the samples with one more. A sample that begins close to
 // the last but one replaces the last one.
-func addSample(samples []Sample, add Sample) []Sample {
+func addSample(samples []ConfirmedPosition, add ConfirmedPosition) []ConfirmedPosition {
 	n := len(samples)
-	if n > 0 && !add.Begun.After(samples[n-1].Begun) {
+	if n > 0 && !add.RoundStart.After(samples[n-1].RoundStart) {
 		return samples
 	}
-	if n > 1 && add.Begun.Sub(samples[n-2].Begun) < sampleSpacing {
+	if n > 1 && add.RoundStart.Sub(samples[n-2].RoundStart) < sampleSpacing {
 		n--
 	}
 	first := max(0, n+1-keptSamples)
--- a/instance/grouppeers.go
+++ b/instance/grouppeers.go
@@ -38,10 +38,10 @@
 			continue
 		}
 		reports = append(reports, group.SuspicionReport{
-			Instance: suspicion.Reporter.Instance,
-			Received: g.now(),
-			Silence:  suspicion.Silence,
-			Term:     suspicion.Term,
+			Instance:   suspicion.Reporter.Instance,
+			ReceivedAt: g.now(),
+			Silence:    suspicion.Silence,
+			Term:       suspicion.Term,
 		})
 	}
 	return reports
--- a/instance/groupwatch.go
+++ b/instance/groupwatch.go
@@ -70,7 +70,7 @@
 }
 
 func (w *groupWatch) observeServer(now time.Time, view group.View, server group.ServerView) []groupChange {
-	if server.Answered.IsZero() {
+	if server.RespondedAt.IsZero() {
 		return nil
 	}
 	var changes []groupChange
--- a/instance/recorder.go
+++ b/instance/recorder.go
@@ -94,7 +94,7 @@
 		Database: record.Group,
 		Server:   record.Server,
 		Term:     record.Term,
-		Text:     fmt.Sprintf("%s, established %v after detection", record.Reason, record.Established.Sub(record.Detected).Round(time.Millisecond)),
+		Text:     fmt.Sprintf("%s, established %v after detection", record.Reason, record.EstablishedAt.Sub(record.DetectedAt).Round(time.Millisecond)),
 	})
 }
 
--- a/instance/router.go
+++ b/instance/router.go
@@ -25,7 +25,7 @@
 	// AwaitCommit waits until the outcome of a write is known.
 	AwaitCommit(ctx context.Context, p fleet.Position) (group.CommitDecision, error)
 	// AwaitFresh waits until a replica may serve the read, and returns the candidates.
-	AwaitFresh(ctx context.Context, need group.Requirement, choice group.Choice, bound time.Duration) ([]fleet.ServerID, error)
+	AwaitFresh(ctx context.Context, need group.ReadRequirement, choice group.ReplicaSelection, bound time.Duration) ([]fleet.ServerID, error)
 	// AwaitPrimary waits until a primary is known that answers.
 	AwaitPrimary(ctx context.Context) (fleet.ServerID, fleet.Term, error)
 	// Barrier returns a position that contains all writes acknowledged before the arrival.
@@ -124,7 +124,7 @@
 // acquireRead tries the candidates in order. A candidate whose connection
 // fails is reported, and the next one is tried.
 func (r *router) acquireRead(ctx context.Context, routed routedGroup, request caller.Request) (caller.Lease, error) {
-	need := group.Requirement{
+	need := group.ReadRequirement{
 		MaxAge:  request.MaxAge,
 		Seen:    request.Token.Seen,
 		Written: request.Token.Written,
@@ -212,8 +212,8 @@
 	}
 }
 
-func (r *router) choice(routed routedGroup) group.Choice {
-	choice := group.Choice{
+func (r *router) choice(routed routedGroup) group.ReplicaSelection {
+	choice := group.ReplicaSelection{
 		Placement: r.sheet.Load().Placement,
 		Random:    r.newRandom(),
 		Strategy:  r.strategy,
@@ -274,7 +274,7 @@
 
 func routeKind(err error) caller.Kind {
 	var groupErr *group.Error
-	if errors.As(err, &groupErr) && groupErr.Kind == group.KindLost {
+	if errors.As(err, &groupErr) && groupErr.Kind == group.KindWriteLost {
 		return caller.KindPositionLost
 	}
 	var backendErr *backend.Error
--- a/instance/router_test.go
+++ b/instance/router_test.go
@@ -23,7 +23,7 @@
 	view *blackboard.Section[group.View]
 }
 
-func (c *changingControl) AwaitFresh(context.Context, group.Requirement, group.Choice, time.Duration) ([]fleet.ServerID, error) {
+func (c *changingControl) AwaitFresh(context.Context, group.ReadRequirement, group.ReplicaSelection, time.Duration) ([]fleet.ServerID, error) {
 	c.view.Store(group.View{Primary: "s2"})
 	return []fleet.ServerID{"s1"}, nil
 }
--- a/instance/status.go
+++ b/instance/status.go
@@ -141,8 +141,8 @@
 			lag = uint64(end - reported.Applied.Log)
 		}
 		silence := int64(-1)
-		if !server.Answered.IsZero() {
-			silence = now.Sub(server.Answered).Milliseconds()
+		if !server.RespondedAt.IsZero() {
+			silence = now.Sub(server.RespondedAt).Milliseconds()
 		}
 		status.Servers = append(status.Servers, operator.ServerStatus{
 			Applied:         reported.Applied,
--- a/measure/failovergap.go
+++ b/measure/failovergap.go
@@ -109,7 +109,7 @@
 	var last group.PromotionRecord
 	for _, id := range w.demo.Instances() {
 		for _, record := range w.demo.Instance(id).Promotions() {
-			if record.Group == g.ID() && record.Decided.After(at) && !record.Promoted.IsZero() && record.Term > last.Term {
+			if record.Group == g.ID() && record.DecidedAt.After(at) && !record.PromotedAt.IsZero() && record.Term > last.Term {
 				last = record
 			}
 		}
@@ -124,13 +124,13 @@
 		return
 	}
 	c := r.collector
-	c.millis(kind.variant, "Detection", record.Detected.Sub(faultAt))
-	c.millis(kind.variant, "Decision", record.Decided.Sub(record.Detected))
-	c.millis(kind.variant, "Promotion", record.Promoted.Sub(record.Decided))
+	c.millis(kind.variant, "Detection", record.DetectedAt.Sub(faultAt))
+	c.millis(kind.variant, "Decision", record.DecidedAt.Sub(record.DetectedAt))
+	c.millis(kind.variant, "Promotion", record.PromotedAt.Sub(record.DecidedAt))
 	c.count(kind.variant, "Attempts", record.Attempts)
 	for _, writer := range writers.all {
-		if first, ok := writer.firstAfter(record.Promoted); ok && writer.group == g {
-			c.millis(kind.variant, "FirstWrite", first.Sub(record.Promoted))
+		if first, ok := writer.firstAfter(record.PromotedAt); ok && writer.group == g {
+			c.millis(kind.variant, "FirstWrite", first.Sub(record.PromotedAt))
 		}
 	}
 }
--- a/measure/writer.go
+++ b/measure/writer.go
@@ -153,8 +153,8 @@
 	for _, g := range groups {
 		for promotion {
 			if record, found := promotionAfter(in, g, faultAt); found {
-				if record.Promoted.After(after) {
-					after = record.Promoted
+				if record.PromotedAt.After(after) {
+					after = record.PromotedAt
 				}
 				break
 			}
