--- a/group/bench_test.go
+++ b/group/bench_test.go
@@ -10,21 +10,23 @@
 	"github.com/nutmegpier/nutmegpier/group"
 )
 
-// benchView returns the view of a healthy group.
+// benchView returns the view of a healthy group after 70 rounds of polls, so that
+// the list of confirmed positions is full.
 func benchView(now time.Time, servers int) group.View {
 	model := newModelGroup(servers)
 	view := modelView(model)
 	for round := range 70 {
 		at := now.Add(time.Duration(round-70) * 250 * time.Millisecond)
 		for _, s := range model {
-			s.contact = at
+			s.lastContact = at
 			view = view.Observe(s.observation(at.Add(-time.Millisecond), at))
 		}
 	}
 	return view
 }
 
-// BenchmarkDecisions measures one decision on one group by number of servers.
+// BenchmarkDecisions measures each kind of decision on one group, by the number
+// of servers.
 func BenchmarkDecisions(b *testing.B) {
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -54,7 +56,7 @@
 }
 
 // BenchmarkGroups measures the detector and promoter steps of many groups. The
-// time for each group must not grow with their number.
+// time per group must not grow with the number of groups.
 func BenchmarkGroups(b *testing.B) {
 	for _, groups := range []int{1, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
--- a/group/choice_test.go
+++ b/group/choice_test.go
@@ -12,52 +12,55 @@
 	"github.com/nutmegpier/nutmegpier/group"
 )
 
+// Parameters of the simulation of replica selection.
 const (
-	choiceCentres   = 4
-	choiceLocal     = 100 * time.Microsecond
-	choicePoll      = 250 * time.Millisecond
-	choiceRemote    = time.Millisecond
-	choiceService   = 5 * time.Millisecond
-	choiceSlots     = 3
-	choiceTokenAge  = 500 * time.Millisecond
-	choiceTokenPart = 0.25
+	choiceDataCentres  = 4
+	choiceLocalDelay   = 100 * time.Microsecond
+	choicePollInterval = 250 * time.Millisecond
+	choiceRemoteDelay  = time.Millisecond
+	choiceServiceTime  = 5 * time.Millisecond
+	choiceServerSlots  = 3
+	choiceMeanTokenAge = 500 * time.Millisecond
+	choiceTokenShare   = 0.25
 )
 
-// choiceSetting is one deployment in which the strategies are compared.
-// Instances see only their own outstanding requests.
-type choiceSetting struct {
+// choiceScenario is a deployment in which the strategies are compared. Instances
+// know only their own outstanding requests.
+type choiceScenario struct {
 	name      string
 	instances int
 	lag       time.Duration
 	replicas  int
-	// skewed draws 5% of the service times from a mean 21 times that of the rest.
+	// skewed draws 5% of the service times from a distribution whose mean is 21
+	// times that of the rest.
 	skewed bool
-	// slow multiplies the service times of the first replica.
-	slow float64
-	// spread puts servers and instances into different data centres.
-	spread bool
+	// slowFactor multiplies the service times of the first replica.
+	slowFactor float64
+	// multiDataCentre puts servers and instances into different data centres.
+	multiDataCentre bool
 }
 
-var choiceSettings = []choiceSetting{
-	{name: "OneInstance", instances: 1, replicas: 2, slow: 1},
-	{name: "Exponential", instances: 8, replicas: 2, slow: 1},
-	{name: "Skewed", instances: 8, replicas: 2, skewed: true, slow: 1},
-	{name: "DataCentres", instances: 8, replicas: 2, slow: 1, spread: true},
-	{name: "SlowReplica", instances: 8, replicas: 2, slow: 3, spread: true},
-	{name: "Lag", instances: 8, lag: 200 * time.Millisecond, replicas: 2, slow: 1, spread: true},
-	{name: "EightReplicas", instances: 8, replicas: 8, slow: 1},
-	{name: "EightReplicasOneInstance", instances: 1, replicas: 8, slow: 1},
-	{name: "EightReplicasSkewed", instances: 8, replicas: 8, skewed: true, slow: 1},
+var choiceScenarios = []choiceScenario{
+	{name: "OneInstance", instances: 1, replicas: 2, slowFactor: 1},
+	{name: "Exponential", instances: 8, replicas: 2, slowFactor: 1},
+	{name: "Skewed", instances: 8, replicas: 2, skewed: true, slowFactor: 1},
+	{name: "DataCentres", instances: 8, replicas: 2, slowFactor: 1, multiDataCentre: true},
+	{name: "SlowReplica", instances: 8, replicas: 2, slowFactor: 3, multiDataCentre: true},
+	{name: "Lag", instances: 8, lag: 200 * time.Millisecond, replicas: 2, slowFactor: 1, multiDataCentre: true},
+	{name: "EightReplicas", instances: 8, replicas: 8, slowFactor: 1},
+	{name: "EightReplicasOneInstance", instances: 1, replicas: 8, slowFactor: 1},
+	{name: "EightReplicasSkewed", instances: 8, replicas: 8, skewed: true, slowFactor: 1},
 }
 
-// choiceEvent is the arrival of a request at a server or of its answer.
+// choiceEvent is the arrival of a request at a server, or of its response at the
+// instance.
 type choiceEvent struct {
-	answer   bool
-	at       time.Duration
-	begun    time.Duration
-	instance int
-	server   int
-	service  time.Duration
+	isResponse  bool
+	at          time.Duration
+	startedAt   time.Duration
+	instance    int
+	server      int
+	serviceTime time.Duration
 }
 
 type choiceEvents []choiceEvent
@@ -72,106 +75,108 @@
 	return last
 }
 
-// choiceTrial runs one strategy in one setting. The arrivals and service times
-// of a seed are the same for all strategies.
-type choiceTrial struct {
-	choiceSetting
-	arrivals *rand.Rand
-	chosen   *rand.Rand
-	delays   []time.Duration
-	events   choiceEvents
-	free     [][choiceSlots]time.Duration
-	loads    [][]group.Load
-	now      time.Duration
-	onReads  int
-	polled   time.Duration
-	rate     float64
-	strategy group.Strategy
-	views    []group.View
-	waits    []time.Duration
+// choiceSimulation is a discrete-event simulation of one strategy in one
+// scenario. The arrivals and service times are the same for all strategies.
+type choiceSimulation struct {
+	choiceScenario
+	workloadRandom *rand.Rand
+	choiceRandom   *rand.Rand
+	responseTimes  []time.Duration
+	events         choiceEvents
+	slotFreeAt     [][choiceServerSlots]time.Duration
+	loads          [][]group.Load
+	now            time.Duration
+	replicaReads   int
+	lastPoll       time.Duration
+	rate           float64
+	strategy       group.Strategy
+	views          []group.View
+	queueTimes     []time.Duration
 }
 
-func newChoiceTrial(setting choiceSetting, load float64, strategy group.Strategy) *choiceTrial {
-	t := &choiceTrial{
-		arrivals: rand.New(rand.NewPCG(1, 1)), choiceSetting: setting, chosen: rand.New(rand.NewPCG(2, 2)),
-		free: make([][choiceSlots]time.Duration, setting.replicas+1), strategy: strategy,
+func newChoiceSimulation(scenario choiceScenario, load float64, strategy group.Strategy) *choiceSimulation {
+	t := &choiceSimulation{
+		workloadRandom: rand.New(rand.NewPCG(1, 1)), choiceScenario: scenario, choiceRandom: rand.New(rand.NewPCG(2, 2)),
+		slotFreeAt: make([][choiceServerSlots]time.Duration, scenario.replicas+1), strategy: strategy,
 	}
-	capacity := choiceSlots * (float64(setting.replicas-1) + 1/setting.slow) / float64(choiceService)
+	capacity := choiceServerSlots * (float64(scenario.replicas-1) + 1/scenario.slowFactor) / float64(choiceServiceTime)
 	t.rate = load * capacity
 	var members []group.Member
 	var loads []group.Load
-	for s := range setting.replicas + 1 {
+	for s := range scenario.replicas + 1 {
 		id := fleet.ServerID(rune('a' + s))
 		member := group.Member{Server: id}
-		if setting.spread {
-			member.DataCentre = choiceCentre(s)
+		if scenario.multiDataCentre {
+			member.DataCentre = choiceDataCentre(s)
 		}
 		members = append(members, member)
 		loads = append(loads, group.Load{Server: id})
 	}
-	for range setting.instances {
+	for range scenario.instances {
 		t.loads = append(t.loads, slices.Clone(loads))
 		t.views = append(t.views, group.NewView("g", members))
 	}
 	return t
 }
 
-func choiceCentre(n int) fleet.DataCentre { return fleet.DataCentre(rune('1' + n%choiceCentres)) }
+func choiceDataCentre(n int) fleet.DataCentre {
+	return fleet.DataCentre(rune('1' + n%choiceDataCentres))
+}
 
-func (t *choiceTrial) oneWay(instance, server int) time.Duration {
-	if t.spread && instance%choiceCentres != server%choiceCentres {
-		return choiceRemote
+func (t *choiceSimulation) oneWay(instance, server int) time.Duration {
+	if t.multiDataCentre && instance%choiceDataCentres != server%choiceDataCentres {
+		return choiceRemoteDelay
 	}
-	return choiceLocal
+	return choiceLocalDelay
 }
 
-// run serves a number of reads.
-func (t *choiceTrial) run(reads int) *choiceTrial {
+// run simulates a number of reads.
+func (t *choiceSimulation) run(reads int) *choiceSimulation {
 	t.poll()
 	for range reads {
-		t.advance(t.now + time.Duration(t.arrivals.ExpFloat64()/t.rate))
-		t.read(t.arrivals.IntN(t.instances), t.need(), t.service())
+		t.advance(t.now + time.Duration(t.workloadRandom.ExpFloat64()/t.rate))
+		t.startRead(t.workloadRandom.IntN(t.instances), t.drawRequirement(), t.drawServiceTime())
 	}
 	t.advance(1 << 62)
-	slices.Sort(t.delays)
-	slices.Sort(t.waits)
+	slices.Sort(t.responseTimes)
+	slices.Sort(t.queueTimes)
 	return t
 }
 
-// advance carries out all events up to a time.
-func (t *choiceTrial) advance(until time.Duration) {
+// advance processes all events up to a time.
+func (t *choiceSimulation) advance(until time.Duration) {
 	for len(t.events) > 0 && t.events[0].at <= until {
-		e := heap.Pop(&t.events).(choiceEvent)
-		if e.answer {
-			t.loads[e.instance][e.server].Outstanding--
+		event := heap.Pop(&t.events).(choiceEvent)
+		if event.isResponse {
+			t.loads[event.instance][event.server].Outstanding--
 			continue
 		}
-		slots := &t.free[e.server]
+		slots := &t.slotFreeAt[event.server]
 		slot := slices.Index(slots[:], slices.Min(slots[:]))
-		start := max(e.at, slots[slot])
-		slots[slot] = start + e.service
-		t.waits = append(t.waits, start-e.at)
-		back := t.oneWay(e.instance, e.server)
-		t.delays = append(t.delays, slots[slot]+back-e.begun)
-		e.answer, e.at = true, slots[slot]+back
-		heap.Push(&t.events, e)
+		start := max(event.at, slots[slot])
+		slots[slot] = start + event.serviceTime
+		t.queueTimes = append(t.queueTimes, start-event.at)
+		delay := t.oneWay(event.instance, event.server)
+		t.responseTimes = append(t.responseTimes, slots[slot]+delay-event.startedAt)
+		event.isResponse, event.at = true, slots[slot]+delay
+		heap.Push(&t.events, event)
 	}
 	t.now = until
-	if t.now-t.polled >= choicePoll {
+	if t.now-t.lastPoll >= choicePollInterval {
 		t.poll()
 	}
 }
 
-// position is the end of a log that grows by one entry each millisecond.
-func (t *choiceTrial) position(at time.Duration) fleet.Position {
+// position returns the end of a log that grows by one entry each millisecond.
+func (t *choiceSimulation) position(at time.Duration) fleet.Position {
 	return fleet.Position{Log: fleet.LogPosition(max(1, at.Milliseconds()+1)), Term: 1}
 }
 
-func (t *choiceTrial) poll() {
-	t.polled = t.now
+func (t *choiceSimulation) poll() {
+	t.lastPoll = t.now
 	for i := range t.views {
 		for s, load := range t.loads[i] {
-			trip := 2 * t.oneWay(i, s)
+			roundTrip := 2 * t.oneWay(i, s)
 			status := group.ServerStatus{
 				Applied: t.position(t.now), History: fleet.History{{First: 1, Term: 1}}, Log: t.position(t.now),
 				PromisedTerm: 1, Role: group.RoleReplica, Server: load.Server, Term: 1,
@@ -182,46 +187,46 @@
 				status.Applied = t.position(t.now - t.lag)
 			}
 			at := time.Unix(1000, 0).Add(t.now)
-			t.views[i] = t.views[i].Observe(group.Observation{RespondedAt: at, RequestedAt: at.Add(-trip), Server: load.Server, Status: status})
+			t.views[i] = t.views[i].Observe(group.Observation{RespondedAt: at, RequestedAt: at.Add(-roundTrip), Server: load.Server, Status: status})
 		}
 	}
 }
 
-// need draws the position that a read must see.
-func (t *choiceTrial) need() group.ReadRequirement {
-	age := time.Duration(t.arrivals.ExpFloat64() * float64(choiceTokenAge))
-	if t.arrivals.Float64() >= choiceTokenPart || t.lag == 0 {
+// drawRequirement draws the position that a read must see.
+func (t *choiceSimulation) drawRequirement() group.ReadRequirement {
+	age := time.Duration(t.workloadRandom.ExpFloat64() * float64(choiceMeanTokenAge))
+	if t.workloadRandom.Float64() >= choiceTokenShare || t.lag == 0 {
 		return group.ReadRequirement{}
 	}
 	return group.ReadRequirement{Written: t.position(t.now - age)}
 }
 
-func (t *choiceTrial) service() time.Duration {
-	mean := float64(choiceService)
-	if long := t.arrivals.Float64() < 0.05; t.skewed && long {
+func (t *choiceSimulation) drawServiceTime() time.Duration {
+	mean := float64(choiceServiceTime)
+	if isLong := t.workloadRandom.Float64() < 0.05; t.skewed && isLong {
 		mean *= 10.5
 	} else if t.skewed {
 		mean *= 0.5
 	}
-	return time.Duration(t.arrivals.ExpFloat64() * mean)
+	return time.Duration(t.workloadRandom.ExpFloat64() * mean)
 }
 
-func (t *choiceTrial) read(instance int, need group.ReadRequirement, service time.Duration) {
-	choice := group.ReplicaSelection{Loads: t.loads[instance], Random: t.chosen, Strategy: t.strategy}
-	if t.spread {
-		choice.Placement.Local = choiceCentre(instance)
+func (t *choiceSimulation) startRead(instance int, need group.ReadRequirement, serviceTime time.Duration) {
+	choice := group.ReplicaSelection{Loads: t.loads[instance], Random: t.choiceRandom, Strategy: t.strategy}
+	if t.multiDataCentre {
+		choice.Placement.Local = choiceDataCentre(instance)
 	}
 	ids := group.ReadCandidates(time.Unix(1000, 0).Add(t.now), t.views[instance], need, choice)
 	server := int(ids[0][0] - 'a')
 	if server != 0 {
-		t.onReads++
+		t.replicaReads++
 	}
 	if server == 1 {
-		service = time.Duration(float64(service) * t.slow)
+		serviceTime = time.Duration(float64(serviceTime) * t.slowFactor)
 	}
 	t.loads[instance][server].Outstanding++
 	heap.Push(&t.events, choiceEvent{
-		at: t.now + t.oneWay(instance, server), begun: t.now, instance: instance, server: server, service: service,
+		at: t.now + t.oneWay(instance, server), startedAt: t.now, instance: instance, server: server, serviceTime: serviceTime,
 	})
 }
 
@@ -237,40 +242,40 @@
 	return float64(times[len(times)*99/100]) / float64(time.Millisecond)
 }
 
-// BenchmarkReplicaChoice compares the strategies by the time that reads wait
-// for a slot, the time until the answer, and the share of reads on replicas.
+// BenchmarkReplicaChoice compares the strategies by the time that reads wait for
+// a server slot, the time to the response, and the share of reads on replicas.
 func BenchmarkReplicaChoice(b *testing.B) {
-	for _, setting := range choiceSettings {
+	for _, scenario := range choiceScenarios {
 		for _, load := range []int{60, 85, 95} {
 			for _, strategy := range strategies {
-				b.Run(fmt.Sprintf("%s/load=%d/%s", setting.name, load, strategy), func(b *testing.B) {
-					var trial *choiceTrial
+				b.Run(fmt.Sprintf("%s/load=%d/%s", scenario.name, load, strategy), func(b *testing.B) {
+					var simulation *choiceSimulation
 					for b.Loop() {
-						trial = newChoiceTrial(setting, float64(load)/100, strategy).run(200_000)
+						simulation = newChoiceSimulation(scenario, float64(load)/100, strategy).run(200_000)
 					}
-					b.ReportMetric(choiceMean(trial.waits), "wait-ms")
-					b.ReportMetric(choiceP99(trial.waits), "wait-p99-ms")
-					b.ReportMetric(choiceMean(trial.delays), "answer-ms")
-					b.ReportMetric(choiceP99(trial.delays), "answer-p99-ms")
-					b.ReportMetric(100*float64(trial.onReads)/float64(len(trial.waits)), "replicas-%")
+					b.ReportMetric(choiceMean(simulation.queueTimes), "wait-ms")
+					b.ReportMetric(choiceP99(simulation.queueTimes), "wait-p99-ms")
+					b.ReportMetric(choiceMean(simulation.responseTimes), "answer-ms")
+					b.ReportMetric(choiceP99(simulation.responseTimes), "answer-p99-ms")
+					b.ReportMetric(100*float64(simulation.replicaReads)/float64(len(simulation.queueTimes)), "replicas-%")
 				})
 			}
 		}
 	}
 }
 
-// TestReplicaChoiceBalances guards against a default strategy that lets reads
-// wait longer than random choice does, or that moves reads to the primary.
+// TestReplicaChoiceBalances guards against a default strategy whose mean response
+// time is longer than that of random choice, or that moves reads to the primary.
 func TestReplicaChoiceBalances(t *testing.T) {
-	for _, setting := range choiceSettings {
+	for _, scenario := range choiceScenarios {
 		for _, load := range []float64{0.6, 0.85} {
-			chosen := newChoiceTrial(setting, load, group.FreshnessDistance).run(4_000)
-			random := newChoiceTrial(setting, load, group.Random).run(4_000)
-			if got, limit := choiceMean(chosen.delays), choiceMean(random.delays); got > limit {
-				t.Errorf("%s at %.0f%%: mean answer time %.2f ms, with random choice %.2f ms", setting.name, 100*load, got, limit)
+			chosen := newChoiceSimulation(scenario, load, group.FreshnessDistance).run(4_000)
+			random := newChoiceSimulation(scenario, load, group.Random).run(4_000)
+			if got, limit := choiceMean(chosen.responseTimes), choiceMean(random.responseTimes); got > limit {
+				t.Errorf("%s at %.0f%%: mean response time %.2f ms, with random choice %.2f ms", scenario.name, 100*load, got, limit)
 			}
-			if chosen.onReads != random.onReads {
-				t.Errorf("%s at %.0f%%: %d reads on replicas, with random choice %d", setting.name, 100*load, chosen.onReads, random.onReads)
+			if chosen.replicaReads != random.replicaReads {
+				t.Errorf("%s at %.0f%%: %d reads on replicas, with random choice %d", scenario.name, 100*load, chosen.replicaReads, random.replicaReads)
 			}
 		}
 	}
--- a/group/commitset.go
+++ b/group/commitset.go
@@ -6,8 +6,8 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// commitSet holds the positions of waiting commits in rising order. Positions
-// may occur more than once.
+// commitSet holds the positions of the writes whose outcome is awaited, in
+// ascending order. It may contain duplicates.
 type commitSet struct {
 	positions []fleet.Position
 }
@@ -17,7 +17,7 @@
 	s.positions = slices.Insert(s.positions, i, p)
 }
 
-// lowest returns the first position that satisfies a condition.
+// lowest returns the lowest position that satisfies a condition.
 func (s *commitSet) lowest(satisfies func(fleet.Position) bool) (fleet.Position, bool) {
 	for _, p := range s.positions {
 		if satisfies(p) {
--- a/group/config.go
+++ b/group/config.go
@@ -8,37 +8,41 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Clock tells the time. It must be monotonic.
+// Clock returns the current time. It must be monotonic.
 type Clock interface {
 	Now() time.Time
 }
 
-// Peers is what the controller of a group learns from other instances.
+// Peers gives the controller of a group access to what other instances report.
 type Peers interface {
-	// Live returns the instances believed to be live, this one included.
+	// Live returns the instances that are considered live, including this one.
 	Live() []fleet.InstanceID
-	// Suspicions returns the newest reports of other instances on a group.
+	// Suspicions returns the latest reports from other instances that the
+	// primary of a group does not respond to them.
 	Suspicions(group fleet.GroupID) []SuspicionReport
 }
 
-// Recorder takes note of what happens in a group. Calls must not block.
+// Recorder receives the events of a group. Its methods must not block.
 type Recorder interface {
-	// RecordDetection is called when the judgement of the primary changes.
+	// RecordDetection is called when the health of the primary, or the reason
+	// for it, changes.
 	RecordDetection(group fleet.GroupID, detection Detection)
 	// RecordPhase is called when the promoter enters a phase.
 	RecordPhase(group fleet.GroupID, phase Phase, term fleet.Term)
-	// RecordPromotion is called when a promotion of this instance is established.
+	// RecordPromotion is called when the term of a primary that this instance
+	// promoted is established.
 	RecordPromotion(record PromotionRecord)
 }
 
-// ServerConfig is one server of a group and the way to reach it.
+// ServerConfig describes one server of a group and how to control it.
 type ServerConfig struct {
 	Control    Control
 	DataCentre fleet.DataCentre
 	ID         fleet.ServerID
 }
 
-// Config holds what a controller depends on. All fields must be set.
+// Config holds the dependencies and settings of a controller. All fields must
+// be set.
 type Config struct {
 	Clock    Clock
 	Epoch    fleet.Epoch
@@ -46,56 +50,70 @@
 	Group    fleet.GroupID
 	Instance fleet.InstanceID
 	Peers    Peers
-	// Placement returns the placement in force.
+	// Placement returns the current placement.
 	Placement func() Placement
-	// Random is used by the controller alone.
-	Random  *rand.Rand
+	// Random must not be shared: only the controller may use it.
+	Random *rand.Rand
+	// Section is where the controller publishes its view of the group.
 	Section *blackboard.Section[View]
-	// Servers lists all servers of the group. Majorities are counted over it.
+	// Servers lists all servers of the group. A majority is a majority of this
+	// list.
 	Servers  []ServerConfig
 	Settings Settings
 }
 
-// Settings holds the durations of the decisions on one group.
+// Settings holds the timeouts and intervals that apply to one group.
 type Settings struct {
-	// BackoffMax bounds the wait of a promoter that lost.
+	// BackoffMax limits the random part of a promoter's back-off after failed
+	// attempts.
 	BackoffMax time.Duration
-	// BackoffMin is the wait of a promoter that lost once.
+	// BackoffMin is the base of the back-off. The random part doubles with each
+	// failed attempt.
 	BackoffMin time.Duration
-	// CatchUpTimeout bounds the wait of a handover for the target's log. Writes
-	// wait meanwhile, so it is short.
+	// CatchUpTimeout limits how long a handover waits for the target to receive
+	// the old primary's whole log. Writes are blocked meanwhile, so it is short.
 	CatchUpTimeout time.Duration
-	// CommitWaitTimeout bounds one wait call for the evidence of commits.
+	// CommitWaitTimeout limits one Control.Wait call that waits for a server to
+	// receive a pending write.
 	CommitWaitTimeout time.Duration
-	// DetectTime is the silence after which a primary has failed.
+	// DetectTime is the time without a response or heartbeat after which a
+	// primary counts as failed.
 	DetectTime time.Duration
-	// EstablishTimeout bounds the time from a promotion to its establishment.
+	// EstablishTimeout limits the time from a successful Promote call until the
+	// new term is established.
 	EstablishTimeout time.Duration
-	// HandoverDrain is the time for running transactions in a handover that
-	// the placement calls for.
+	// HandoverDrain is the time that running transactions get to finish in a
+	// handover that the controller starts itself.
 	HandoverDrain time.Duration
-	// HandoverRetry is the time between handovers that the placement calls for.
+	// HandoverRetry is the minimum time between handovers that the controller
+	// starts itself.
 	HandoverRetry time.Duration
-	// MaxHandoverLag is the largest lag of a replica that a handover may choose.
+	// MaxHandoverLag is the maximum replication lag of a handover target.
 	MaxHandoverLag time.Duration
-	// PollInterval is the time between status requests at rest.
+	// PollInterval is the time between status requests while the primary is
+	// healthy.
 	PollInterval time.Duration
-	// PollTimeout bounds one control call. It is a sixth of DetectTime, so that
-	// several lost calls in a row are needed before a server counts as silent.
+	// PollTimeout limits one control call. It is a sixth of DetectTime, so that
+	// several calls in a row must be lost before a server counts as failed.
 	PollTimeout time.Duration
-	// RankDelay is the wait of a candidate for each candidate ranked before it.
+	// RankDelay is how long an instance delays a promotion for each instance
+	// that ranks before it.
 	RankDelay time.Duration
-	// RetryInterval is the time after which a failed control call is repeated.
+	// RetryInterval is the delay before a failed control call is retried.
 	RetryInterval time.Duration
-	// StepTimeout bounds each step of a promotion.
+	// StepTimeout limits the fence phase and the promote phase of a promotion,
+	// and is added to the drain time in the drain phase.
 	StepTimeout time.Duration
-	// SuspectInterval is the time between status requests under suspicion.
+	// SuspectInterval is the time between status requests while the primary is
+	// suspected or failed.
 	SuspectInterval time.Duration
-	// MaxStatusAge is the age up to which a primary's status is used for routing.
+	// MaxStatusAge is the maximum age of the primary's status for which the
+	// server is still used as the primary in routing.
 	MaxStatusAge time.Duration
 }
 
-// DefaultSettings returns the settings for servers about 1 ms away.
+// DefaultSettings returns settings for servers at a network distance of about
+// 1 ms.
 func DefaultSettings() Settings {
 	return Settings{
 		BackoffMax:        1600 * time.Millisecond,
--- a/group/detector.go
+++ b/group/detector.go
@@ -7,113 +7,130 @@
 )
 
 const (
-	// contactMargin is the percentage of DetectTime for which instances must
-	// get no answer while a majority of servers hears from the primary. The
-	// primary then runs, so the requests may have been lost. With 900 ms and
-	// 150 ms a call that takes nine lost calls in a row instead of six.
-	contactMargin = 150
-	// suspectFraction is the part of DetectTime after which silence makes a
-	// primary suspected. It leaves time for confirming polls before DetectTime.
-	suspectFraction = 3
+	// contactMarginPercent is the percentage of DetectTime for which the primary
+	// must not respond to instances before it counts as failed while a majority
+	// of servers is in contact with it. The primary is then running, and the
+	// requests may just have been lost. With a DetectTime of 900 ms and a
+	// PollTimeout of 150 ms, nine calls in a row must be lost instead of six.
+	contactMarginPercent = 150
+	// suspectDivisor divides DetectTime to give the time without contact after
+	// which a primary is suspected. It leaves time for confirming polls before
+	// DetectTime.
+	suspectDivisor = 3
 )
 
-// Health is the detector's judgement of a group's primary.
+// Health is the health of a group's primary as the detector sees it.
 type Health string
 
-// Judgements of a primary.
+// Health states of a primary.
 const (
-	// Failed means that a promotion is due.
+	// Failed means that the primary must be replaced by a promotion.
 	Failed Health = "Failed"
-	// Healthy means that nothing speaks against the primary.
+	// Healthy means that there is no sign of a failure.
 	Healthy Health = "Healthy"
-	// Suspected means that the group is polled more often.
+	// Suspected means that the primary may have failed. The group is polled more
+	// often.
 	Suspected Health = "Suspected"
 )
 
-// Reason says what a judgement rests on.
+// Reason is why a primary is in its health state.
 type Reason string
 
-// Reasons of judgements.
+// Reasons for a health state.
 const (
-	// ReasonInstancesSilent means that a majority of live instances gets no answer.
+	// ReasonInstancesSilent means that the primary does not respond to this
+	// instance, and, if it is Failed, to a majority of the live instances.
 	ReasonInstancesSilent Reason = "InstancesSilent"
 	// ReasonNone means that the primary is healthy.
 	ReasonNone Reason = "None"
-	// ReasonNoPrimary means that no server leads the newest promised term.
+	// ReasonNoPrimary means that no primary of the newest term is known.
 	ReasonNoPrimary Reason = "NoPrimary"
-	// ReasonNoMajority means that too few servers answer this instance.
+	// ReasonNoMajority means that fewer than a majority of the servers respond
+	// to this instance.
 	ReasonNoMajority Reason = "NoMajority"
-	// ReasonPromiseAhead means that a server promised a later term to a promoter
-	// that gave up. It takes no entry of the present primary any more.
+	// ReasonPromiseAhead means that a server promised a later term than the
+	// primary's, for example to a promoter that gave up. The server accepts no
+	// more entries from the current primary.
 	ReasonPromiseAhead Reason = "PromiseAhead"
-	// ReasonReplicasSilent means that a majority of servers lost the primary.
+	// ReasonReplicasSilent means that a replica has lost contact with the
+	// primary, and, if the primary is Failed, that a majority of the servers has.
 	ReasonReplicasSilent Reason = "ReplicasSilent"
 )
 
-// SuspicionReport says that an instance gets no answer from a primary.
+// SuspicionReport reports that a primary does not respond to an instance.
 type SuspicionReport struct {
 	Instance fleet.InstanceID
-	// Received is the time at which the report arrived.
+	// ReceivedAt is the time at which the report arrived.
 	ReceivedAt time.Time
-	// Silence is the time for which the primary left requests unanswered.
+	// Silence is how long the primary has left the instance's requests
+	// unanswered.
 	Silence time.Duration
 	Term    fleet.Term
 }
 
-// Detection is the outcome of one step of a Detector.
+// Detection is the result of one step of a Detector.
 type Detection struct {
 	Health Health
-	// NextPoll is the time at which all servers are to be asked again.
+	// NextPoll is the time at which all servers are to be polled again.
 	NextPoll time.Time
 	Reason   Reason
-	// Silence is the time for which the primary has left requests unanswered.
+	// Silence is how long the primary has left requests of this instance
+	// unanswered.
 	Silence time.Duration
-	// Suspected is the time at which the present suspicion began.
+	// SuspectedAt is the time since which the primary has not been Healthy.
+	// It is zero if it is Healthy.
 	SuspectedAt time.Time
-	// Term is the term of the primary that is judged.
+	// Term is the term of the primary.
 	Term fleet.Term
 }
 
-// Detector judges whether the primary of a group has failed. It is not safe
+// Detector detects whether the primary of a group has failed. It is not safe
 // for concurrent use.
 type Detector struct {
-	confirmed    []confirmation
-	lastStep     time.Time
-	leaderless   time.Time
-	promised     fleet.Term
-	settings     Settings
-	suspected    time.Time
-	term         fleet.Term
-	termSince    time.Time
-	trustedSince time.Time
+	silentReplicas []silenceReport
+	lastStep       time.Time
+	// noPrimarySince is the time since which no primary has been known and
+	// highestPromised has not risen.
+	noPrimarySince  time.Time
+	highestPromised fleet.Term
+	settings        Settings
+	suspectedAt     time.Time
+	term            fleet.Term
+	// termSince is the time at which term became known.
+	termSince time.Time
+	// validSince is the time since which observations are used. It is the end
+	// of the last pause of this instance.
+	validSince time.Time
 }
 
-// confirmation is the first request in which a replica reported a silence.
-type confirmation struct {
-	asked  time.Time
-	server fleet.ServerID
+// silenceReport is the first status request to which a replica responded that it
+// has lost contact with the primary.
+type silenceReport struct {
+	requestedAt time.Time
+	server      fleet.ServerID
 }
 
-// NewDetector returns a detector that has seen nothing yet.
+// NewDetector returns a detector without observations.
 func NewDetector(settings Settings) *Detector {
 	return &Detector{settings: settings}
 }
 
-// Step judges the primary. Peers' reports and the number of live instances,
-// this one included, are those known at the time now. Steps must not be
-// further apart than PollInterval; a longer gap counts as a pause of this
-// instance, and what was observed before it is not used.
-func (d *Detector) Step(now time.Time, view View, reports []SuspicionReport, live int) Detection {
-	d.resume(now)
-	d.follow(now, view)
-	detection := Detection{Health: Healthy, Reason: ReasonNone, Silence: d.silence(now, view), Term: view.Term}
-	d.judge(now, view, reports, live, &detection)
+// Step determines the health of the primary. The reports of the other instances
+// and the number of live instances, including this one, are those known at the
+// time now. Steps must not be further apart than PollInterval. A gap of more
+// than twice that counts as a pause of this instance, and earlier observations
+// are then not used.
+func (d *Detector) Step(now time.Time, view View, reports []SuspicionReport, liveInstances int) Detection {
+	d.discardAfterPause(now)
+	d.trackPrimary(now, view)
+	detection := Detection{Health: Healthy, Reason: ReasonNone, Silence: d.unansweredTime(now, view), Term: view.Term}
+	d.evaluate(now, view, reports, liveInstances, &detection)
 	if detection.Health == Healthy {
-		d.suspected = time.Time{}
-	} else if d.suspected.IsZero() {
-		d.suspected = now
+		d.suspectedAt = time.Time{}
+	} else if d.suspectedAt.IsZero() {
+		d.suspectedAt = now
 	}
-	detection.SuspectedAt = d.suspected
+	detection.SuspectedAt = d.suspectedAt
 	detection.NextPoll = now.Add(d.settings.PollInterval)
 	if detection.Health != Healthy {
 		detection.NextPoll = now.Add(d.settings.SuspectInterval)
@@ -121,169 +138,178 @@
 	return detection
 }
 
-// resume discards older observations after a pause of this instance.
-func (d *Detector) resume(now time.Time) {
+// discardAfterPause discards earlier observations after a pause of this instance.
+func (d *Detector) discardAfterPause(now time.Time) {
 	limit := 2 * d.settings.PollInterval
 	if d.lastStep.IsZero() || now.Sub(d.lastStep) > limit {
-		d.trustedSince = now
-		d.leaderless = time.Time{}
-		d.confirmed = nil
+		d.validSince = now
+		d.noPrimarySince = time.Time{}
+		d.silentReplicas = nil
 	}
 	d.lastStep = now
 }
 
-// follow notes since when the term and the lack of a primary are known.
-func (d *Detector) follow(now time.Time, view View) {
+// trackPrimary tracks since when the term has been known, and since when no
+// primary has been known.
+func (d *Detector) trackPrimary(now time.Time, view View) {
 	if d.termSince.IsZero() || view.Term != d.term {
-		d.term, d.termSince, d.confirmed = view.Term, now, nil
+		d.term, d.termSince, d.silentReplicas = view.Term, now, nil
 	}
 	if view.Primary != "" {
-		d.leaderless = time.Time{}
+		d.noPrimarySince = time.Time{}
 		return
 	}
-	// A growing promise shows a promoter at work.
-	if promised := view.HighestPromisedTerm(); d.leaderless.IsZero() || promised > d.promised {
-		d.leaderless, d.promised = now, promised
+	// A rising promised term shows that a promotion is in progress, so the
+	// detection time starts again.
+	if highestPromised := view.HighestPromisedTerm(); d.noPrimarySince.IsZero() || highestPromised > d.highestPromised {
+		d.noPrimarySince, d.highestPromised = now, highestPromised
 	}
 }
 
-func (d *Detector) judge(now time.Time, view View, reports []SuspicionReport, live int, out *Detection) {
-	silent, failed := d.replicas(now, view)
+// evaluate sets the health and its reason. The first condition that holds decides.
+func (d *Detector) evaluate(now time.Time, view View, reports []SuspicionReport, liveInstances int, out *Detection) {
+	silent, failed := d.countSilentReplicas(now, view)
 	switch {
-	case view.RespondedSince(d.recent(now)) < view.Majority():
+	case view.RespondedSince(d.evidenceSince(now)) < view.Majority():
 		out.Health, out.Reason = Suspected, ReasonNoMajority
 	case view.Primary == "":
 		out.Health, out.Reason = Suspected, ReasonNoPrimary
-		if now.Sub(d.leaderless) >= d.settings.DetectTime {
+		if now.Sub(d.noPrimarySince) >= d.settings.DetectTime {
 			out.Health = Failed
 		}
 	case failed >= view.Majority():
 		out.Health, out.Reason = Failed, ReasonReplicasSilent
-	case d.instancesSilent(now, view, reports, live, out.Silence):
+	case d.hasSilentInstances(now, view, reports, liveInstances, out.Silence):
 		out.Health, out.Reason = Failed, ReasonInstancesSilent
 	case silent > 0:
 		out.Health, out.Reason = Suspected, ReasonReplicasSilent
 	case out.Silence >= d.suspectTime():
 		out.Health, out.Reason = Suspected, ReasonInstancesSilent
-	case d.promiseAhead(now, view):
+	case d.hasPromiseAhead(now, view):
 		out.Health, out.Reason = Suspected, ReasonPromiseAhead
 	}
 }
 
-// instancesSilent reports whether this and a majority of live instances get no
-// answer from the primary.
-func (d *Detector) instancesSilent(now time.Time, view View, reports []SuspicionReport, live int, own time.Duration) bool {
+// hasSilentInstances reports whether the primary has not responded for the
+// detection time to a majority of the live instances, including this one.
+func (d *Detector) hasSilentInstances(now time.Time, view View, reports []SuspicionReport, liveInstances int, ownSilence time.Duration) bool {
 	limit := d.settings.DetectTime
-	if d.inContact(now, view) {
-		limit = limit * contactMargin / 100
+	if d.hasPrimaryContact(now, view) {
+		limit = limit * contactMarginPercent / 100
 	}
-	if own < limit {
+	if ownSilence < limit {
 		return false
 	}
-	n := 1
+	silentInstances := 1
 	for i, report := range reports {
-		if report.Term != view.Term || report.Silence < limit || report.ReceivedAt.Before(d.trustedSince) {
+		if report.Term != view.Term || report.Silence < limit || report.ReceivedAt.Before(d.validSince) {
 			continue
 		}
 		if !reportedBefore(reports[:i], report.Instance) {
-			n++
+			silentInstances++
 		}
 	}
-	return n > live/2
+	return silentInstances > liveInstances/2
 }
 
-// inContact reports whether a majority of the servers, the primary included,
-// is known to have heard from the primary recently.
-func (d *Detector) inContact(now time.Time, view View) bool {
-	n := 1
+// hasPrimaryContact reports whether a majority of the servers, including the
+// primary, is known to have been in contact with the primary recently.
+func (d *Detector) hasPrimaryContact(now time.Time, view View) bool {
+	inContact := 1
 	for _, server := range view.Servers {
-		if server.Server != view.Primary && server.RespondedSince(d.recent(now)) &&
+		if server.Server != view.Primary && server.RespondedSince(d.evidenceSince(now)) &&
 			server.Status.Term == view.Term && server.Status.PrimaryContact < d.suspectTime() {
-			n++
+			inContact++
 		}
 	}
-	return n >= view.Majority()
+	return inContact >= view.Majority()
 }
 
-// promiseAhead reports whether a server that answers promised a term above
-// that of the primary.
-func (d *Detector) promiseAhead(now time.Time, view View) bool {
+// hasPromiseAhead reports whether a server that responds has promised a later
+// term than the primary's.
+func (d *Detector) hasPromiseAhead(now time.Time, view View) bool {
 	for _, server := range view.Servers {
-		if server.RespondedSince(d.recent(now)) && server.Status.PromisedTerm > view.Term {
+		if server.RespondedSince(d.evidenceSince(now)) && server.Status.PromisedTerm > view.Term {
 			return true
 		}
 	}
 	return false
 }
 
-// recent returns the time since which an answer must have been asked for to
-// be used as evidence.
-func (d *Detector) recent(now time.Time) time.Time {
+// evidenceSince returns the earliest send time of a request whose response is
+// recent enough to be used as evidence.
+func (d *Detector) evidenceSince(now time.Time) time.Time {
 	since := now.Add(-2 * d.settings.PollInterval)
-	if since.Before(d.trustedSince) {
-		return d.trustedSince
+	if since.Before(d.validSince) {
+		return d.validSince
 	}
 	return since
 }
 
-// replicas counts the replicas that report silence of the primary, and those
-// whose silence reached DetectTime and was reported at least twice. A replica
-// that was itself paused reports silence once and hears from the primary
-// before the second request.
-func (d *Detector) replicas(now time.Time, view View) (silent, failed int) {
-	var confirmed []confirmation
+// countSilentReplicas counts the replicas that report that they have lost contact
+// with the primary, and those that reported it for at least DetectTime and in
+// response to at least two requests. A replica that was itself paused reports it
+// once, and is in contact with the primary again before the second request.
+func (d *Detector) countSilentReplicas(now time.Time, view View) (silent, failed int) {
+	var silentReplicas []silenceReport
 	for _, server := range view.Servers {
-		if server.Server == view.Primary || !server.RespondedSince(d.recent(now)) || d.contact(server, view) < d.suspectTime() {
+		if server.Server == view.Primary || !server.RespondedSince(d.evidenceSince(now)) || d.primarySilence(server, view) < d.suspectTime() {
 			continue
 		}
 		silent++
-		first := d.firstSilence(server)
-		confirmed = append(confirmed, first)
-		if d.contact(server, view) >= d.settings.DetectTime && server.RequestedAt.After(first.asked) {
+		first := d.firstSilenceReport(server)
+		silentReplicas = append(silentReplicas, first)
+		if d.primarySilence(server, view) >= d.settings.DetectTime && server.RequestedAt.After(first.requestedAt) {
 			failed++
 		}
 	}
-	d.confirmed = confirmed
+	d.silentReplicas = silentReplicas
 	return silent, failed
 }
 
-// contact returns the silence that a replica reports. A replica that does not
-// follow the newest term yet reports the silence of an older primary, so only
-// the time since the newest term became known counts.
-func (d *Detector) contact(server ServerView, view View) time.Duration {
+// primarySilence returns for how long a replica has had no contact with the
+// primary. A replica that does not follow the newest term yet reports the time
+// since its contact with an older primary, so only the time since the newest
+// term became known counts.
+func (d *Detector) primarySilence(server ServerView, view View) time.Duration {
 	if server.Status.Term == view.Term {
 		return server.Status.PrimaryContact
 	}
 	return min(server.Status.PrimaryContact, server.RequestedAt.Sub(d.termSince))
 }
 
-func (d *Detector) firstSilence(server ServerView) confirmation {
-	for _, known := range d.confirmed {
-		if known.server == server.Server {
-			return known
+// firstSilenceReport returns the first report of a replica's current loss of
+// contact, which is its latest response if none is known.
+func (d *Detector) firstSilenceReport(server ServerView) silenceReport {
+	for _, report := range d.silentReplicas {
+		if report.server == server.Server {
+			return report
 		}
 	}
-	return confirmation{asked: server.RequestedAt, server: server.Server}
+	return silenceReport{requestedAt: server.RequestedAt, server: server.Server}
 }
 
-// silence returns the time since the first request that the primary left
-// unanswered. The time without requests before it says nothing.
-func (d *Detector) silence(now time.Time, view View) time.Duration {
+// unansweredTime returns the time since the first request that the primary left
+// unanswered. The time before that request is not counted, because it does not
+// show that the primary was unresponsive.
+func (d *Detector) unansweredTime(now time.Time, view View) time.Duration {
 	primary, found := view.Server(view.Primary)
 	if !found || primary.Failures == 0 {
 		return 0
 	}
 	since := primary.FailingSince
-	if since.Before(d.trustedSince) {
-		since = d.trustedSince
+	if since.Before(d.validSince) {
+		since = d.validSince
 	}
 	return now.Sub(since)
 }
 
 func (d *Detector) suspectTime() time.Duration {
-	return d.settings.DetectTime / suspectFraction
+	return d.settings.DetectTime / suspectDivisor
 }
 
+// reportedBefore reports whether one of the reports is from the instance, so that
+// an instance is counted only once.
 func reportedBefore(reports []SuspicionReport, instance fleet.InstanceID) bool {
 	for _, report := range reports {
 		if report.Instance == instance {
--- a/group/detector_test.go
+++ b/group/detector_test.go
@@ -10,7 +10,8 @@
 	"github.com/nutmegpier/nutmegpier/group"
 )
 
-// detectorRun steps a detector every 50 ms over statuses with given contacts.
+// detectorRun steps a detector over statuses with given times since contact with
+// the primary.
 type detectorRun struct {
 	detector *group.Detector
 	now      time.Time
@@ -25,19 +26,20 @@
 	}
 }
 
-// step advances the time and the contacts of the replicas b and c; a negative
-// contact means that the server does not answer.
-func (r *detectorRun) step(after time.Duration, primary bool, b, c time.Duration, reports ...group.SuspicionReport) group.Detection {
+// step advances the time, observes the servers and steps the detector. The
+// durations b and c are the times since the replicas b and c were in contact with
+// the primary; a negative one means that the replica does not respond.
+func (r *detectorRun) step(after time.Duration, primaryResponds bool, b, c time.Duration, reports ...group.SuspicionReport) group.Detection {
 	r.now = r.now.Add(after)
 	for id, contact := range map[fleet.ServerID]time.Duration{"b": b, "c": c} {
 		r.observe(id, contact >= 0, contact)
 	}
-	r.observe("a", primary, 0)
+	r.observe("a", primaryResponds, 0)
 	return r.detector.Step(r.now, r.view, reports, 3)
 }
 
-func (r *detectorRun) observe(id fleet.ServerID, answers bool, contact time.Duration) {
-	if !answers {
+func (r *detectorRun) observe(id fleet.ServerID, responds bool, contact time.Duration) {
+	if !responds {
 		r.view = r.view.RecordFailure(id, r.now)
 		return
 	}
@@ -46,28 +48,28 @@
 	r.view = r.view.Observe(group.Observation{RespondedAt: r.now, RequestedAt: r.now, Server: id, Status: server.Status})
 }
 
-// run steps until the end and returns the last judgement.
-func (r *detectorRun) run(d time.Duration, primary bool, contact func(time.Duration) (b, c time.Duration), reports ...group.SuspicionReport) group.Detection {
+// run steps every 50 ms for a duration and returns the last detection.
+func (r *detectorRun) run(d time.Duration, primaryResponds bool, contact func(time.Duration) (b, c time.Duration), reports ...group.SuspicionReport) group.Detection {
 	var last group.Detection
-	for past := time.Duration(0); past <= d; past += 50 * time.Millisecond {
-		b, c := contact(past)
+	for elapsed := time.Duration(0); elapsed <= d; elapsed += 50 * time.Millisecond {
+		b, c := contact(elapsed)
 		for i := range reports {
 			reports[i].ReceivedAt = r.now
 		}
-		last = r.step(50*time.Millisecond, primary, b, c, reports...)
+		last = r.step(50*time.Millisecond, primaryResponds, b, c, reports...)
 	}
 	return last
 }
 
-func heard(time.Duration) (b, c time.Duration)       { return 0, 0 }
-func silent(d time.Duration) (b, c time.Duration)    { return d, d }
-func oneSilent(d time.Duration) (b, c time.Duration) { return 0, d }
-func unconnected(time.Duration) (b, c time.Duration) {
+func contactRecent(time.Duration) (b, c time.Duration)      { return 0, 0 }
+func contactLost(d time.Duration) (b, c time.Duration)      { return d, d }
+func contactLostByOne(d time.Duration) (b, c time.Duration) { return 0, d }
+func contactOverdue(time.Duration) (b, c time.Duration) {
 	return 400 * time.Millisecond, 400 * time.Millisecond
 }
-func unheard(time.Duration) (b, c time.Duration) { return -1, -1 }
+func noResponses(time.Duration) (b, c time.Duration) { return -1, -1 }
 
-// TestDetectorJudges guards against missed failures and false alarms.
+// TestDetectorJudges guards against undetected failures and false alarms.
 func TestDetectorJudges(t *testing.T) {
 	const short, long = 1200 * time.Millisecond, 1500 * time.Millisecond
 	report := func(instance fleet.InstanceID, term fleet.Term) group.SuspicionReport {
@@ -82,51 +84,52 @@
 		health  group.Health
 		reason  group.Reason
 	}{
-		{"Healthy", short, true, heard, nil, group.Healthy, group.ReasonNone},
-		{"Crash", short, false, silent, nil, group.Failed, group.ReasonReplicasSilent},
-		{"CutOffPrimary", short, true, silent, nil, group.Failed, group.ReasonReplicasSilent},
-		{"OneReplicaSilent", short, true, oneSilent, nil, group.Suspected, group.ReasonReplicasSilent},
-		{"OnlyThisInstance", short, false, heard, nil, group.Suspected, group.ReasonInstancesSilent},
-		{"MostInstances", long, false, heard, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstancesSilent},
-		{"MostInstancesOneInContact", long, false, oneSilent, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstancesSilent},
-		{"MostInstancesWithoutContact", short, false, unconnected, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstancesSilent},
-		{"MostInstancesTooEarly", short, false, heard, []group.SuspicionReport{report("2", 1)}, group.Suspected, group.ReasonInstancesSilent},
-		{"ReportsOfOlderTerm", short, false, heard, []group.SuspicionReport{report("2", 0)}, group.Suspected, group.ReasonInstancesSilent},
-		{"PrimaryAnswers", short, true, heard, []group.SuspicionReport{report("2", 1), report("3", 1)}, group.Healthy, group.ReasonNone},
-		{"NoMajority", short, false, unheard, []group.SuspicionReport{report("2", 1), report("3", 1)}, group.Suspected, group.ReasonNoMajority},
+		{"Healthy", short, true, contactRecent, nil, group.Healthy, group.ReasonNone},
+		{"Crash", short, false, contactLost, nil, group.Failed, group.ReasonReplicasSilent},
+		{"CutOffPrimary", short, true, contactLost, nil, group.Failed, group.ReasonReplicasSilent},
+		{"OneReplicaSilent", short, true, contactLostByOne, nil, group.Suspected, group.ReasonReplicasSilent},
+		{"OnlyThisInstance", short, false, contactRecent, nil, group.Suspected, group.ReasonInstancesSilent},
+		{"MostInstances", long, false, contactRecent, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstancesSilent},
+		{"MostInstancesOneInContact", long, false, contactLostByOne, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstancesSilent},
+		{"MostInstancesWithoutContact", short, false, contactOverdue, []group.SuspicionReport{report("2", 1)}, group.Failed, group.ReasonInstancesSilent},
+		{"MostInstancesTooEarly", short, false, contactRecent, []group.SuspicionReport{report("2", 1)}, group.Suspected, group.ReasonInstancesSilent},
+		{"ReportsOfOlderTerm", short, false, contactRecent, []group.SuspicionReport{report("2", 0)}, group.Suspected, group.ReasonInstancesSilent},
+		{"PrimaryAnswers", short, true, contactRecent, []group.SuspicionReport{report("2", 1), report("3", 1)}, group.Healthy, group.ReasonNone},
+		{"NoMajority", short, false, noResponses, []group.SuspicionReport{report("2", 1), report("3", 1)}, group.Suspected, group.ReasonNoMajority},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := newDetectorRun().run(tc.after, tc.primary, tc.contact, tc.reports...)
 			if diff := cmp.Diff([]string{string(tc.health), string(tc.reason)}, []string{string(got.Health), string(got.Reason)}); diff != "" {
-				t.Errorf("judgement (-want +got):\n%s", diff)
+				t.Errorf("health and reason (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestDetectorAfterPause guards against an instance that was paused and
-// decides on what it saw before.
+// TestDetectorAfterPause guards against an instance that was paused and then
+// decides by observations from before the pause.
 func TestDetectorAfterPause(t *testing.T) {
 	r := newDetectorRun()
-	r.run(800*time.Millisecond, false, silent)
+	r.run(800*time.Millisecond, false, contactLost)
 	r.now = r.now.Add(5 * time.Second)
 	if got := r.detector.Step(r.now, r.view, nil, 3); got.Health == group.Failed {
-		t.Errorf("judgement %+v right after a pause", got)
+		t.Errorf("detection %+v right after a pause, want no failure", got)
 	}
-	if got := r.run(200*time.Millisecond, true, heard); got.Health != group.Healthy {
-		t.Errorf("judgement %+v, want %s", got, group.Healthy)
+	if got := r.run(200*time.Millisecond, true, contactRecent); got.Health != group.Healthy {
+		t.Errorf("detection %+v, want %s", got, group.Healthy)
 	}
 }
 
-// TestDetectorPausedReplicas guards against replicas that were paused together
-// and report one long silence.
+// TestDetectorPausedReplicas guards against a false alarm when replicas that were
+// paused at the same time each report once that they lost contact with the
+// primary.
 func TestDetectorPausedReplicas(t *testing.T) {
 	r := newDetectorRun()
-	r.run(200*time.Millisecond, true, heard)
+	r.run(200*time.Millisecond, true, contactRecent)
 	if got := r.step(50*time.Millisecond, true, 3*time.Second, 3*time.Second); got.Health != group.Suspected {
-		t.Errorf("judgement %+v, want %s", got, group.Suspected)
+		t.Errorf("detection %+v, want %s", got, group.Suspected)
 	}
 	if got := r.step(50*time.Millisecond, true, 0, 0); got.Health != group.Healthy {
-		t.Errorf("judgement %+v, want %s", got, group.Healthy)
+		t.Errorf("detection %+v, want %s", got, group.Healthy)
 	}
 }
--- a/group/error.go
+++ b/group/error.go
@@ -2,24 +2,27 @@
 
 import "fmt"
 
-// ErrorKind classifies the errors of this package.
+// ErrorKind classifies an Error.
 type ErrorKind string
 
 // Kinds of errors.
 const (
-	// KindWriteLost means that a position is not part of the group's history.
+	// KindWriteLost means that a write of the session was lost in a change of
+	// primary: its position is not part of the group's history.
 	KindWriteLost ErrorKind = "Lost"
-	// KindNoMajority means that too few servers answered.
+	// KindNoMajority means that fewer than a majority of the servers responded
+	// in time.
 	KindNoMajority ErrorKind = "NoMajority"
-	// KindNoPrimary means that no primary was known in time.
+	// KindNoPrimary means that no responding primary was known in time.
 	KindNoPrimary ErrorKind = "NoPrimary"
-	// KindStale means that no server was fresh enough in time.
+	// KindStale means that no server had data that was fresh enough in time.
 	KindStale ErrorKind = "Stale"
-	// KindOutcomeUnknown means that the outcome of a write was not known in time.
+	// KindOutcomeUnknown means that it was not known in time whether a write
+	// was committed.
 	KindOutcomeUnknown ErrorKind = "Unknown"
 )
 
-// Error is the error of this package.
+// Error is the error type of this package.
 type Error struct {
 	// Err is the cause, if there is one.
 	Err  error
--- a/group/fake_test.go
+++ b/group/fake_test.go
@@ -16,33 +16,35 @@
 
 const (
 	fakeHeartbeat = 5 * time.Millisecond
-	fakeOneWay    = time.Millisecond
+	// fakeOneWay is the one-way network delay of control calls and writes.
+	fakeOneWay = time.Millisecond
 )
 
 var errDown = errors.New("connection refused")
 
-// fakeGroup is a database group in memory with fault switches. Its servers
+// fakeGroup is an in-memory database group with fault injection. Its servers
 // replicate every fakeHeartbeat.
 type fakeGroup struct {
 	mu sync.Mutex
-	// cut holds servers that no other server reaches.
-	cut     map[fleet.ServerID]bool
+	// isolated holds the servers that are cut off from the other servers.
+	isolated map[fleet.ServerID]bool
+	// down holds the crashed servers.
 	down    map[fleet.ServerID]bool
 	servers []*modelServer
-	// loss decides whether a control call of an instance is lost.
-	loss func(instance fleet.InstanceID, server fleet.ServerID) bool
-	// onPromote is called before a Promote takes effect. It may change the
-	// switches.
-	onPromote func(server fleet.ServerID)
-	promoted  map[fleet.Term]fleet.ServerID
-	statuses  int
-	twice     bool
+	// dropCall decides whether a control call of an instance is lost.
+	dropCall func(instance fleet.InstanceID, server fleet.ServerID) bool
+	// onPromote is called before a Promote call takes effect. It may inject or
+	// remove faults.
+	onPromote      func(server fleet.ServerID)
+	promoted       map[fleet.Term]fleet.ServerID
+	statusRequests int
+	promotedTwice  bool
 }
 
 func newFakeGroup(n int) *fakeGroup {
 	return &fakeGroup{
-		cut: map[fleet.ServerID]bool{}, down: map[fleet.ServerID]bool{}, servers: newModelGroup(n),
-		loss:     func(fleet.InstanceID, fleet.ServerID) bool { return false },
+		isolated: map[fleet.ServerID]bool{}, down: map[fleet.ServerID]bool{}, servers: newModelGroup(n),
+		dropCall: func(fleet.InstanceID, fleet.ServerID) bool { return false },
 		promoted: map[fleet.Term]fleet.ServerID{1: "a"},
 	}
 }
@@ -56,23 +58,23 @@
 	return nil
 }
 
-// replicate runs the servers' own traffic until the context ends.
+// replicate runs the replication between the servers until the context ends.
 func (g *fakeGroup) replicate(ctx context.Context) {
 	g.mu.Lock()
 	for _, s := range g.servers {
-		s.contact = time.Now()
+		s.lastContact = time.Now()
 	}
 	g.mu.Unlock()
 	for ctx.Err() == nil {
 		g.mu.Lock()
 		for _, from := range g.servers {
 			for _, to := range g.servers {
-				if from == to || g.down[from.id] || g.down[to.id] || g.cut[from.id] || g.cut[to.id] {
+				if from == to || g.down[from.id] || g.down[to.id] || g.isolated[from.id] || g.isolated[to.id] {
 					continue
 				}
 				from.replicate(to, len(from.log))
 				if from.role == group.RolePrimary && to.term == from.term {
-					to.contact = time.Now()
+					to.lastContact = time.Now()
 				}
 			}
 		}
@@ -81,7 +83,8 @@
 	}
 }
 
-// write appends an entry as a caller's write would.
+// write appends an entry on a server, as the write of a caller does. It reports
+// false if the server is down or is not a primary.
 func (g *fakeGroup) write(id fleet.ServerID) (fleet.Position, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -91,14 +94,14 @@
 	return g.find(id).write()
 }
 
-// requests returns the number of status requests that arrived.
-func (g *fakeGroup) requests() int {
+// statusRequestCount returns the number of status requests received by servers.
+func (g *fakeGroup) statusRequestCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.statuses
+	return g.statusRequests
 }
 
-func (g *fakeGroup) with(f func()) {
+func (g *fakeGroup) withLock(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f()
@@ -113,7 +116,8 @@
 
 var _ group.Control = &fakeControl{}
 
-// call runs f on the server one way after the call and answers one way later.
+// call runs f on the server after the one-way delay and returns the status after
+// another one-way delay.
 func (c *fakeControl) call(ctx context.Context, f func(*modelServer) error) (group.ServerStatus, error) {
 	time.Sleep(fakeOneWay)
 	c.group.mu.Lock()
@@ -121,7 +125,7 @@
 		c.group.mu.Unlock()
 		return group.ServerStatus{}, errDown
 	}
-	if c.group.loss(c.instance, c.server) {
+	if c.group.dropCall(c.instance, c.server) {
 		c.group.mu.Unlock()
 		<-ctx.Done()
 		return group.ServerStatus{}, ctx.Err()
@@ -154,7 +158,7 @@
 		err := s.promote(term, holder)
 		if err == nil {
 			if known, found := c.group.promoted[term]; found && known != s.id {
-				c.group.twice = true
+				c.group.promotedTwice = true
 			}
 			c.group.promoted[term] = s.id
 		}
@@ -164,20 +168,20 @@
 
 func (c *fakeControl) Status(ctx context.Context) (group.ServerStatus, error) {
 	return c.call(ctx, func(*modelServer) error {
-		c.group.statuses++
+		c.group.statusRequests++
 		return nil
 	})
 }
 
 func (c *fakeControl) Wait(ctx context.Context, p fleet.Position, timeout time.Duration) (group.ServerStatus, error) {
-	end := time.Now().Add(timeout)
+	deadline := time.Now().Add(timeout)
 	for {
 		covered := false
 		status, err := c.call(ctx, func(s *modelServer) error {
 			covered = s.contains(p) || s.promised > p.Term
 			return nil
 		})
-		if err != nil || covered || !time.Now().Before(end) {
+		if err != nil || covered || !time.Now().Before(deadline) {
 			return status, err
 		}
 	}
@@ -188,7 +192,8 @@
 
 func (fakeClock) Now() time.Time { return time.Now() }
 
-// fakeInstance is one instance with its controller. It is its own recorder.
+// fakeInstance is one instance with its controller. It is the controller's
+// Recorder and Peers.
 type fakeInstance struct {
 	*group.Controller
 	deployment *deployment
@@ -245,14 +250,15 @@
 	running   sync.WaitGroup
 }
 
-// deploy starts a group and instances inside a synctest bubble and lets them
-// settle. They are stopped and checked at the end of the test.
+// deploy starts a group and instances inside a synctest bubble, and waits a second
+// until the instances know the primary. At the end of the test they are stopped
+// and checked.
 func deploy(t *testing.T, servers, instances int) *deployment {
 	t.Helper()
 	d := &deployment{group: newFakeGroup(servers)}
 	d.placement.Store(&group.Placement{})
 	d.ctx, d.cancel = context.WithCancel(t.Context())
-	t.Cleanup(func() { d.stop(t) })
+	t.Cleanup(func() { d.stopAndCheck(t) })
 	d.running.Go(func() { d.group.replicate(d.ctx) })
 	d.start(instances, func(instance fleet.InstanceID) []group.ServerConfig {
 		var servers []group.ServerConfig
@@ -265,7 +271,8 @@
 	return d
 }
 
-// start runs a number of instances with the given servers until the context ends.
+// start runs a number of instances with the given servers until the deployment's
+// context ends.
 func (d *deployment) start(instances int, servers func(fleet.InstanceID) []group.ServerConfig) {
 	for n := range instances {
 		i := &fakeInstance{
@@ -284,17 +291,18 @@
 	}
 }
 
-// stop ends all goroutines and checks what must hold in each run.
-func (d *deployment) stop(t *testing.T) {
+// stopAndCheck stops all goroutines and checks that at most one server was
+// promoted in each term.
+func (d *deployment) stopAndCheck(t *testing.T) {
 	t.Helper()
 	d.cancel()
 	d.running.Wait()
-	if d.group.twice {
+	if d.group.promotedTwice {
 		t.Error("two servers were promoted in one term")
 	}
 }
 
-// records returns the promotions of all instances.
+// records returns the promotion records of all instances.
 func (d *deployment) records() []group.PromotionRecord {
 	var records []group.PromotionRecord
 	for _, i := range d.instances {
--- a/group/freshness.go
+++ b/group/freshness.go
@@ -6,9 +6,9 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// ReadRequirement says what a read must see.
+// ReadRequirement defines how fresh the data of a read must be.
 type ReadRequirement struct {
-	// MaxAge is the largest age of the data; zero means no bound.
+	// MaxAge is the maximum age of the data; zero means no limit.
 	MaxAge time.Duration
 	// Seen is the newest position that the session has read.
 	Seen fleet.Position
@@ -16,51 +16,52 @@
 	Written fleet.Position
 }
 
-// IsFresh reports whether reads on a server are known to see all the positions.
-// The server's applied log must be part of the group's history, so that a
-// server that was cut off does not serve entries that are lost.
+// IsFresh reports whether a server is known to have applied all the positions.
+// The log applied on the server must be part of the group's history, so that a
+// server that was cut off does not serve entries that were lost.
 func IsFresh(view View, server fleet.ServerID, positions ...fleet.Position) bool {
 	i := view.index(server)
-	return i >= 0 && fresh(&view, &view.Servers[i], positions...)
+	return i >= 0 && isFresh(&view, &view.Servers[i], positions...)
 }
 
-func fresh(view *View, server *ServerView, positions ...fleet.Position) bool {
+func isFresh(view *View, server *ServerView, positions ...fleet.Position) bool {
 	if server.RespondedAt.IsZero() {
 		return false
 	}
 	for _, position := range positions {
-		if !covers(view, server, position) {
+		if !hasApplied(view, server, position) {
 			return false
 		}
 	}
 	return server.Server == view.Primary || view.History.Contains(server.Status.Applied)
 }
 
-// IsLost reports whether a position is certainly not part of the group's
-// history. A session that wrote it can never be served.
+// IsLost reports whether a position is certain not to be part of the group's
+// history. No server can ever satisfy a read that requires such a write.
 func IsLost(view View, p fleet.Position) bool {
 	return view.EstablishedHistory.LastTerm() > p.Term && !view.EstablishedHistory.Contains(p)
 }
 
-// TruncateToForkPoint returns a position that a session has read, cut back to the fork
-// point if what lies beyond was lost.
+// TruncateToForkPoint returns a position that a session has read or, if the
+// position was lost, the last position of the group's history up to its term.
 func TruncateToForkPoint(view View, seen fleet.Position) fleet.Position {
 	if !IsLost(view, seen) {
 		return seen
 	}
-	var last fleet.Position
+	var truncated fleet.Position
 	for i, start := range view.EstablishedHistory {
 		if start.Term > seen.Term || i+1 == len(view.EstablishedHistory) {
 			break
 		}
-		last = fleet.Position{Log: view.EstablishedHistory[i+1].First - 1, Term: start.Term}
+		truncated = fleet.Position{Log: view.EstablishedHistory[i+1].First - 1, Term: start.Term}
 	}
-	return last
+	return truncated
 }
 
-// covers reports whether a server is known to have applied a position of the
-// group's history. The primary has applied all of its own term.
-func covers(view *View, server *ServerView, p fleet.Position) bool {
+// hasApplied reports whether a position is part of the group's history and the
+// server is known to have applied it. The primary counts as having applied all
+// entries of its history.
+func hasApplied(view *View, server *ServerView, p fleet.Position) bool {
 	if !view.History.Contains(p) || p.Term > view.Term {
 		return false
 	}
@@ -70,28 +71,29 @@
 	return view.History.Contains(server.Status.Applied) && server.Status.Applied.Compare(p) >= 0
 }
 
-// coversAge reports whether a server is known to have applied a sample that
-// began at or after since.
-func coversAge(view *View, server *ServerView, since time.Time) bool {
+// hasAppliedSince reports whether a server is known to have applied a confirmed
+// position whose round started at or after since.
+func hasAppliedSince(view *View, server *ServerView, since time.Time) bool {
 	for i := range view.ConfirmedPositions {
-		sample := view.ConfirmedPositions[len(view.ConfirmedPositions)-1-i]
-		if sample.RoundStart.Before(since) {
+		confirmed := view.ConfirmedPositions[len(view.ConfirmedPositions)-1-i]
+		if confirmed.RoundStart.Before(since) {
 			return false
 		}
-		if covers(view, server, sample.Position) {
+		if hasApplied(view, server, confirmed.Position) {
 			return true
 		}
 	}
 	return false
 }
 
-// coversSample reports whether a log end covers a sample that began at or after since.
-func coversSample(view View, end fleet.Position, since time.Time) bool {
-	if !view.History.Contains(end) {
+// coversConfirmedSince reports whether a log that ends at logEnd contains a
+// confirmed position whose round started at or after since.
+func coversConfirmedSince(view View, logEnd fleet.Position, since time.Time) bool {
+	if !view.History.Contains(logEnd) {
 		return false
 	}
-	for _, sample := range view.ConfirmedPositions {
-		if !sample.RoundStart.Before(since) && view.History.Contains(sample.Position) && end.Compare(sample.Position) >= 0 {
+	for _, confirmed := range view.ConfirmedPositions {
+		if !confirmed.RoundStart.Before(since) && view.History.Contains(confirmed.Position) && logEnd.Compare(confirmed.Position) >= 0 {
 			return true
 		}
 	}
--- a/group/freshness_test.go
+++ b/group/freshness_test.go
@@ -15,56 +15,56 @@
 
 var strategies = []group.Strategy{group.FreshnessDistance, group.LeastOutstanding, group.Random, group.SampledTwo}
 
-// freshModel advances an evidence model with slow applying and notes when each
-// position was the newest committed one.
-type freshModel struct {
+// freshnessModel is an evidence model that records when each position was the
+// newest committed one.
+type freshnessModel struct {
 	*evidenceModel
-	// newest lists the end of the acknowledged log over time.
-	newest []group.ConfirmedPosition
+	// acknowledgedEnds lists the end of the acknowledged log after each step.
+	acknowledgedEnds []group.ConfirmedPosition
 }
 
-func (m *freshModel) advance() error {
+func (m *freshnessModel) advance() error {
 	if err := m.step(); err != nil {
 		return err
 	}
-	var end fleet.Position
+	var newest fleet.Position
 	for p := range m.committed {
-		if p.Compare(end) > 0 {
-			end = p
+		if p.Compare(newest) > 0 {
+			newest = p
 		}
 	}
-	m.newest = append(m.newest, group.ConfirmedPosition{RoundStart: m.now, Position: end})
+	m.acknowledgedEnds = append(m.acknowledgedEnds, group.ConfirmedPosition{RoundStart: m.now, Position: newest})
 	return nil
 }
 
-// acknowledgedBy returns the newest position that was acknowledged at a time.
-func (m *freshModel) acknowledgedBy(at time.Time) fleet.Position {
-	var end fleet.Position
-	for _, sample := range m.newest {
+// acknowledgedBy returns the newest position that had been acknowledged at a time.
+func (m *freshnessModel) acknowledgedBy(at time.Time) fleet.Position {
+	var newest fleet.Position
+	for _, sample := range m.acknowledgedEnds {
 		if !sample.RoundStart.After(at) {
-			end = sample.Position
+			newest = sample.Position
 		}
 	}
-	return end
+	return newest
 }
 
-// TestReadCandidatesCoverRequirement guards against a replica that serves a
-// read without the session's token in its history, or on evidence older than
-// the accepted age.
+// TestReadCandidatesCoverRequirement guards against a replica that serves a read
+// although its history lacks a position that the session has written or read, or
+// although its data may be older than the accepted age.
 func TestReadCandidatesCoverRequirement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 8))
-		m := &freshModel{evidenceModel: newSafeModel(3, random.IntN)}
+		m := &freshnessModel{evidenceModel: newSafeModel(3, random.IntN)}
 		for range 200 {
 			if err := m.advance(); err != nil {
 				t.Fatal(err)
 			}
-			m.check(t, random)
+			m.checkCandidates(t, random)
 		}
 	})
 }
 
-func (m *freshModel) check(t *rapid.T, random *rand.Rand) {
+func (m *freshnessModel) checkCandidates(t *rapid.T, random *rand.Rand) {
 	view := m.views[random.IntN(len(m.views))]
 	need := group.ReadRequirement{MaxAge: time.Duration(random.IntN(60)) * time.Millisecond}
 	if len(m.written) > 0 {
@@ -76,10 +76,10 @@
 		server, _ := view.Server(id)
 		history := server.Status.History
 		if id != view.Primary && !history.Contains(need.Written) {
-			t.Fatalf("%s lacks %v", id, need.Written)
+			t.Fatalf("candidate %s does not contain the written position %v", id, need.Written)
 		}
 		if seen := group.TruncateToForkPoint(view, need.Seen); id != view.Primary && !history.Contains(seen) {
-			t.Fatalf("%s lacks %v", id, seen)
+			t.Fatalf("candidate %s does not contain the read position %v", id, seen)
 		}
 		if need.MaxAge == 0 {
 			continue
@@ -92,7 +92,7 @@
 			}
 		}
 		if old := m.acknowledgedBy(m.now.Add(-need.MaxAge - time.Millisecond)); server.Status.Log.Compare(old) < 0 {
-			t.Fatalf("%s ends at %v, but %v was acknowledged more than %v ago", id, server.Status.Log, old, need.MaxAge)
+			t.Fatalf("candidate %s ends at %v, but %v was acknowledged more than %v ago", id, server.Status.Log, old, need.MaxAge)
 		}
 	}
 	if position, ok := group.DecideBarrier(view, m.now.Add(-20*time.Millisecond)); ok {
@@ -102,7 +102,7 @@
 	}
 }
 
-// healthyView returns a view of three servers at the given log ends in term 1.
+// healthyView returns a view of three servers with the given log ends in term 1.
 func healthyView(now time.Time, ends map[fleet.ServerID]fleet.LogPosition) group.View {
 	view := group.NewView("g", []group.Member{
 		{DataCentre: "1", Server: "a"}, {DataCentre: "2", Server: "b"}, {DataCentre: "3", Server: "c"},
@@ -120,8 +120,8 @@
 	return view
 }
 
-// TestReadCandidatesOrder guards against reads on the primary, on servers that
-// leave, or on a busier replica while another one qualifies.
+// TestReadCandidatesOrder guards against reads on the primary, on servers that are
+// leaving, or on a busier replica while another replica qualifies.
 func TestReadCandidatesOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	view := healthyView(now, map[fleet.ServerID]fleet.LogPosition{"a": 20, "b": 20, "c": 10})
@@ -148,7 +148,7 @@
 	}
 }
 
-// TestLostPositionsAreCutBack guards against sessions that wait for ever for a
+// TestLostPositionsAreCutBack guards against sessions that wait forever for a
 // position that was lost in a change of primary.
 func TestLostPositionsAreCutBack(t *testing.T) {
 	view := group.View{EstablishedHistory: fleet.History{{First: 1, Term: 1}, {First: 11, Term: 3}}}
@@ -162,13 +162,13 @@
 		{fleet.Position{Log: 99, Term: 4}, fleet.Position{Log: 99, Term: 4}},
 	} {
 		if diff := cmp.Diff(tc.want, group.TruncateToForkPoint(view, tc.position)); diff != "" {
-			t.Errorf("CutBack(%v) (-want +got):\n%s", tc.position, diff)
+			t.Errorf("TruncateToForkPoint(%v) (-want +got):\n%s", tc.position, diff)
 		}
 		if got, want := group.IsLost(view, tc.position), tc.position != tc.want; got != want {
 			t.Errorf("IsLost(%v) = %v, want %v", tc.position, got, want)
 		}
 	}
 	if slices.Contains([]bool{group.IsLost(view, fleet.Position{})}, true) {
-		t.Error("the start of the log is lost")
+		t.Error("IsLost is true for the zero position")
 	}
 }
--- a/group/growth_test.go
+++ b/group/growth_test.go
@@ -19,41 +19,42 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-// growthSpan is the real time for which controllers run.
-const growthSpan = 2 * time.Second
+// measureTime is the duration of the warm-up and of the measurement, in real time.
+const measureTime = 2 * time.Second
 
-// instantControl is a healthy server that answers at once.
-type instantControl struct {
+// healthyControl controls a healthy server that responds immediately.
+type healthyControl struct {
 	group.Control
 	polls  *atomic.Int64
 	status group.ServerStatus
 }
 
-func (c *instantControl) Status(context.Context) (group.ServerStatus, error) {
+func (c *healthyControl) Status(context.Context) (group.ServerStatus, error) {
 	c.polls.Add(1)
 	return c.status, nil
 }
 
-// lonePeers is an instance without peers.
-type lonePeers struct{}
+// noPeers is the Peers and the Recorder of an instance that has no peers and
+// records nothing.
+type noPeers struct{}
 
-func (lonePeers) Live() []fleet.InstanceID                           { return []fleet.InstanceID{"1"} }
-func (lonePeers) Suspicions(fleet.GroupID) []group.SuspicionReport   { return nil }
-func (lonePeers) RecordDetection(fleet.GroupID, group.Detection)     {}
-func (lonePeers) RecordPhase(fleet.GroupID, group.Phase, fleet.Term) {}
-func (lonePeers) RecordPromotion(group.PromotionRecord)              {}
+func (noPeers) Live() []fleet.InstanceID                           { return []fleet.InstanceID{"1"} }
+func (noPeers) Suspicions(fleet.GroupID) []group.SuspicionReport   { return nil }
+func (noPeers) RecordDetection(fleet.GroupID, group.Detection)     {}
+func (noPeers) RecordPhase(fleet.GroupID, group.Phase, fleet.Term) {}
+func (noPeers) RecordPromotion(group.PromotionRecord)              {}
 
-func growthController(id fleet.GroupID, interval time.Duration, polls *atomic.Int64) *group.Controller {
+func newHealthyController(id fleet.GroupID, interval time.Duration, polls *atomic.Int64) *group.Controller {
 	settings := group.DefaultSettings()
 	settings.PollInterval = interval
 	config := group.Config{
-		Clock: fakeClock{}, Epoch: 1, Events: lonePeers{}, Group: id, Instance: "1", Peers: lonePeers{},
+		Clock: fakeClock{}, Epoch: 1, Events: noPeers{}, Group: id, Instance: "1", Peers: noPeers{},
 		Placement: func() group.Placement { return group.Placement{} }, Random: rand.New(rand.NewPCG(1, 1)),
 		Section: blackboard.New(group.View{}), Settings: settings,
 	}
 	for _, s := range newModelGroup(3) {
-		s.contact = time.Now()
-		control := &instantControl{polls: polls, status: s.status(s.contact)}
+		s.lastContact = time.Now()
+		control := &healthyControl{polls: polls, status: s.status(s.lastContact)}
 		config.Servers = append(config.Servers, group.ServerConfig{Control: control, ID: s.id})
 	}
 	return group.New(config)
@@ -67,8 +68,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkControllers measures what controllers of healthy groups cost for
-// each poll and hold for each group, by the number of groups.
+// BenchmarkControllers measures the CPU time and allocations per poll and the
+// memory per group of the controllers of healthy groups, by the number of groups.
 func BenchmarkControllers(b *testing.B) {
 	for _, groups := range []int{100, 400, 1600} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
@@ -87,14 +88,14 @@
 	runtime.ReadMemStats(&before)
 	ctx, cancel := context.WithCancel(context.Background())
 	for n := range groups {
-		controller := growthController(fleet.GroupID(fmt.Sprintf("g%d", n)), 250*time.Millisecond, &polls)
+		controller := newHealthyController(fleet.GroupID(fmt.Sprintf("g%d", n)), 250*time.Millisecond, &polls)
 		running.Go(func() { controller.Run(ctx) })
 	}
-	// The views fill up to their limits of samples and receipts meanwhile.
-	time.Sleep(growthSpan)
+	// Meanwhile the views fill up with confirmed positions and receipts.
+	time.Sleep(measureTime)
 	runtime.ReadMemStats(&started)
 	first, cpu := polls.Load(), cpuTime()
-	time.Sleep(growthSpan)
+	time.Sleep(measureTime)
 	cpu = cpuTime() - cpu
 	n := float64(polls.Load() - first)
 	runtime.ReadMemStats(&after)
@@ -107,10 +108,10 @@
 	b.ReportMetric(float64(after.Mallocs-started.Mallocs)/n, "allocs/poll")
 	b.ReportMetric(float64(after.TotalAlloc-started.TotalAlloc)/n, "bytes/poll")
 	b.ReportMetric((float64(live.HeapAlloc)+float64(live.StackInuse)-float64(before.HeapAlloc)-float64(before.StackInuse))/float64(groups)/1024, "KiB/group")
-	b.ReportMetric(n/growthSpan.Seconds()/float64(groups), "polls/s/group")
+	b.ReportMetric(n/measureTime.Seconds()/float64(groups), "polls/s/group")
 }
 
-// countedConn counts the bytes of a connection in both directions.
+// countedConn counts the bytes that are sent and received on a connection.
 type countedConn struct {
 	net.Conn
 	received, sent *atomic.Int64
@@ -129,7 +130,7 @@
 }
 
 // BenchmarkStatusCall measures a status call over a control connection to a
-// stand-in server. CPU and allocations include the stand-in.
+// simulated server. CPU time and allocations include those of the simulated server.
 func BenchmarkStatusCall(b *testing.B) {
 	servers, err := standin.NewGroup(standin.Options{})
 	if err != nil {
--- a/group/live_test.go
+++ b/group/live_test.go
@@ -18,21 +18,22 @@
 )
 
 const (
-	// liveBound bounds one change of primary with its writes.
-	liveBound = 30 * time.Second
-	// liveWrites is the number of acknowledged writes before the fault, and
-	// on the next primary.
+	// liveTimeout limits the whole run of one change of primary.
+	liveTimeout = 30 * time.Second
+	// liveWrites is the number of acknowledged writes required before the fault
+	// and then on the next primary.
 	liveWrites = 20
 )
 
-// liveDeployment is a stand-in group with instances that control it over
-// control connections, in real time.
+// liveDeployment is a simulated group with instances that control it over real
+// control connections and in real time.
 type liveDeployment struct {
 	*deployment
 	servers *standin.Group
 }
 
-// deployLive starts a stand-in group and instances that all know its primary.
+// deployLive starts a simulated group and instances, and waits until all instances
+// know its primary.
 func deployLive(tb testing.TB) *liveDeployment {
 	tb.Helper()
 	servers, err := standin.NewGroup(standin.DefaultOptions())
@@ -42,7 +43,7 @@
 	tb.Cleanup(servers.Close)
 	d := &liveDeployment{deployment: &deployment{}, servers: servers}
 	d.placement.Store(&group.Placement{})
-	d.ctx, d.cancel = context.WithTimeout(context.Background(), liveBound)
+	d.ctx, d.cancel = context.WithTimeout(context.Background(), liveTimeout)
 	if err := servers.Exec(d.ctx, "CREATE TABLE writes (id INTEGER PRIMARY KEY)"); err != nil {
 		tb.Fatal(err)
 	}
@@ -70,20 +71,21 @@
 	return configs
 }
 
-// liveWriter writes one row after the other through an instance.
+// liveWriter writes rows one after the other through an instance.
 type liveWriter struct {
 	*liveDeployment
-	acknowledged []int
-	conn         *pgconn.PgConn
-	instance     *fakeInstance
-	last         time.Time
-	next         int
-	server       fleet.ServerID
-	// longest is the longest time between acknowledged writes.
-	longest time.Duration
+	acknowledged     []int
+	conn             *pgconn.PgConn
+	instance         *fakeInstance
+	lastAcknowledged time.Time
+	lastRow          int
+	server           fleet.ServerID
+	// longestGap is the longest time between acknowledged writes.
+	longestGap time.Duration
 }
 
-// write writes a row and returns the server that led when it was acknowledged.
+// write writes a row and returns the primary that it was written on, once the
+// write is committed.
 func (w *liveWriter) write() (fleet.ServerID, error) {
 	server, _, err := w.instance.AwaitPrimary(w.ctx)
 	if err != nil {
@@ -93,8 +95,8 @@
 		w.instance.ReportFailure(server)
 		return "", err
 	}
-	w.next++
-	if _, err := w.conn.Exec(w.ctx, fmt.Sprintf("INSERT INTO writes VALUES (%d)", w.next)).ReadAll(); err != nil {
+	w.lastRow++
+	if _, err := w.conn.Exec(w.ctx, fmt.Sprintf("INSERT INTO writes VALUES (%d)", w.lastRow)).ReadAll(); err != nil {
 		w.instance.ReportRefusal()
 		return "", err
 	}
@@ -107,14 +109,14 @@
 		return "", fmt.Errorf("decision %s: %w", decision, err)
 	}
 	now := time.Now()
-	if !w.last.IsZero() {
-		w.longest = max(w.longest, now.Sub(w.last))
+	if !w.lastAcknowledged.IsZero() {
+		w.longestGap = max(w.longestGap, now.Sub(w.lastAcknowledged))
 	}
-	w.acknowledged, w.last = append(w.acknowledged, w.next), now
+	w.acknowledged, w.lastAcknowledged = append(w.acknowledged, w.lastRow), now
 	return server, nil
 }
 
-// connect connects to a server, unless the writer is connected to it.
+// connect connects to a server, unless the writer is already connected to it.
 func (w *liveWriter) connect(server fleet.ServerID) error {
 	if w.conn != nil && w.server == server && !w.conn.IsClosed() {
 		return nil
@@ -137,8 +139,9 @@
 	}
 }
 
-// until writes until enough rows in a row were acknowledged by a server that satisfies a condition.
-func (w *liveWriter) until(tb testing.TB, satisfied func(fleet.ServerID) bool) {
+// writeUntil writes until liveWrites rows were acknowledged on a server that
+// satisfies a condition.
+func (w *liveWriter) writeUntil(tb testing.TB, satisfied func(fleet.ServerID) bool) {
 	tb.Helper()
 	for n := 0; n < liveWrites; {
 		server, err := w.write()
@@ -153,8 +156,8 @@
 	}
 }
 
-// missing returns the acknowledged rows that the primary does not have.
-func (w *liveWriter) missing(tb testing.TB) []int {
+// missingRows returns the acknowledged rows that the primary does not have.
+func (w *liveWriter) missingRows(tb testing.TB) []int {
 	tb.Helper()
 	results, err := w.conn.Exec(w.ctx, "SELECT id FROM writes").ReadAll()
 	if err != nil {
@@ -183,8 +186,8 @@
 	{"CutOff", func(d *liveDeployment, primary fleet.ServerID) { d.servers.CutServer(primary, true) }},
 }
 
-// replaceLive replaces the primary under a steady writer and returns the
-// longest time without an acknowledged write.
+// replaceLive injects a fault while a writer writes continuously, waits for
+// another primary, and returns the longest time without an acknowledged write.
 func replaceLive(tb testing.TB, fault func(*liveDeployment, fleet.ServerID)) time.Duration {
 	tb.Helper()
 	d := deployLive(tb)
@@ -193,19 +196,19 @@
 	w := &liveWriter{instance: d.instances[0], liveDeployment: d}
 	defer w.close()
 	old := d.servers.Primary().ID()
-	w.until(tb, func(s fleet.ServerID) bool { return s == old })
-	w.longest = 0
+	w.writeUntil(tb, func(s fleet.ServerID) bool { return s == old })
+	w.longestGap = 0
 	fault(d, old)
-	w.until(tb, func(s fleet.ServerID) bool { return s != old })
-	if missing := w.missing(tb); len(missing) > 0 {
-		tb.Errorf("acknowledged writes are missing on the next primary: %v", missing)
+	w.writeUntil(tb, func(s fleet.ServerID) bool { return s != old })
+	if missingRows := w.missingRows(tb); len(missingRows) > 0 {
+		tb.Errorf("acknowledged writes are missing on the next primary: %v", missingRows)
 	}
-	return w.longest
+	return w.longestGap
 }
 
-// TestLiveReplacement guards against a primary that is not replaced by
-// another server, and against acknowledged writes that are lost then, over
-// real control connections and in real time.
+// TestLiveReplacement guards against a primary that is not replaced by another
+// server, and against acknowledged writes that are lost in the replacement. It
+// uses real control connections and real time.
 func TestLiveReplacement(t *testing.T) {
 	for _, tc := range liveFaults {
 		t.Run(tc.name, func(t *testing.T) {
@@ -215,8 +218,8 @@
 	}
 }
 
-// BenchmarkLiveReplacement measures the longest time without an acknowledged
-// write in a change of primary, in real time.
+// BenchmarkLiveReplacement measures the longest real time without an acknowledged
+// write during a change of primary.
 func BenchmarkLiveReplacement(b *testing.B) {
 	for _, tc := range liveFaults {
 		b.Run(tc.name, func(b *testing.B) {
--- a/group/model_test.go
+++ b/group/model_test.go
@@ -11,18 +11,19 @@
 
 var errNotPromised = errors.New("term is not promised to the holder")
 
-// modelServer is a backend server with its log reduced to the term of each entry.
+// modelServer models a backend server. Its log holds only the term of each entry.
 type modelServer struct {
-	contact  time.Time
-	holder   fleet.InstanceID
-	id       fleet.ServerID
-	log      []fleet.Term
-	promised fleet.Term
-	role     group.Role
-	term     fleet.Term
+	lastContact time.Time
+	holder      fleet.InstanceID
+	id          fleet.ServerID
+	log         []fleet.Term
+	promised    fleet.Term
+	role        group.Role
+	term        fleet.Term
 }
 
-// newModelGroup returns servers that follow the first one in term 1.
+// newModelGroup returns servers of which the first is the primary of term 1 and
+// the others follow it.
 func newModelGroup(n int) []*modelServer {
 	var servers []*modelServer
 	for i := range n {
@@ -34,7 +35,7 @@
 	return servers
 }
 
-// modelView returns the view of an instance that knows nothing but the servers.
+// modelView returns the view of an instance before any server has responded.
 func modelView(servers []*modelServer) group.View {
 	var members []group.Member
 	for _, s := range servers {
@@ -43,12 +44,12 @@
 	return group.NewView("g", members)
 }
 
-// observation returns an answer of the server.
-func (s *modelServer) observation(asked, answered time.Time) group.Observation {
-	return group.Observation{RespondedAt: answered, RequestedAt: asked, Server: s.id, Status: s.status(answered)}
+// observation returns a response of the server.
+func (s *modelServer) observation(requestedAt, respondedAt time.Time) group.Observation {
+	return group.Observation{RespondedAt: respondedAt, RequestedAt: requestedAt, Server: s.id, Status: s.status(respondedAt)}
 }
 
-// write appends an entry if the server leads.
+// write appends an entry if the server is a primary.
 func (s *modelServer) write() (fleet.Position, bool) {
 	if s.role != group.RolePrimary {
 		return fleet.Position{}, false
@@ -91,8 +92,8 @@
 	return nil
 }
 
-// replicate sends the log of a primary up to an end to a replica. A fenced
-// primary goes on sending what it has.
+// replicate sends the log of a primary, up to the entry number end, to a replica.
+// A fenced primary continues to send the entries that it has.
 func (s *modelServer) replicate(to *modelServer, end int) {
 	if s.role == group.RoleReplica || to.promised > s.term || to.term > s.term || (to.term == s.term && to.role != group.RoleReplica) {
 		return
@@ -100,11 +101,11 @@
 	if to.promised < s.term || to.term < s.term {
 		to.promised, to.holder, to.term, to.role = s.term, s.holder, s.term, group.RoleReplica
 	}
-	same := 0
-	for same < min(len(s.log), len(to.log)) && s.log[same] == to.log[same] {
-		same++
+	common := 0
+	for common < min(len(s.log), len(to.log)) && s.log[common] == to.log[common] {
+		common++
 	}
-	if same >= end {
+	if common >= end {
 		return
 	}
 	to.log = slices.Clone(s.log[:end])
@@ -117,7 +118,7 @@
 	}
 	status.Applied = status.Log
 	if s.role == group.RoleReplica {
-		status.PrimaryContact = now.Sub(s.contact)
+		status.PrimaryContact = now.Sub(s.lastContact)
 	}
 	for i, term := range s.log {
 		if i == 0 || s.log[i-1] != term {
--- a/group/placement.go
+++ b/group/placement.go
@@ -6,9 +6,10 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Placement says which servers are to be used, as the operators' sheet has it.
+// Placement defines which servers to prefer or avoid, as configured by the
+// operators in the sheet.
 type Placement struct {
-	// Leaving lists the servers that are leaving.
+	// Leaving lists the servers that are being taken out of use.
 	Leaving []fleet.ServerID
 	// Local is the data centre of this instance.
 	Local fleet.DataCentre
@@ -16,9 +17,10 @@
 	OutOfService []fleet.DataCentre
 }
 
-// IsEligible reports whether a server may get new work or become primary by plan.
+// IsEligible reports whether a server may receive new reads and may be the
+// target of a handover.
 func (p Placement) IsEligible(member Member) bool {
-	return !p.isLeaving(member) && !p.isOut(member)
+	return !p.isLeaving(member) && !p.isOutOfService(member)
 }
 
 func (p Placement) isLeaving(member Member) bool {
@@ -29,6 +31,6 @@
 	return p.Local != "" && p.Local == member.DataCentre
 }
 
-func (p Placement) isOut(member Member) bool {
+func (p Placement) isOutOfService(member Member) bool {
 	return slices.Contains(p.OutOfService, member.DataCentre)
 }
--- a/group/promoter.go
+++ b/group/promoter.go
@@ -8,161 +8,185 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// promoteTries is the number of times that Promote is tried in one term. A
-// higher term is always safe to go on with, so a dead server costs little time.
-const promoteTries = 2
+// maxPromoteCalls is the number of times that Promote is called in one term.
+// Continuing with a higher term is always safe, so giving up early on a dead
+// server is cheap.
+const maxPromoteCalls = 2
 
-// Phase is the step at which a promoter is.
+// Phase is a phase of a promotion.
 type Phase string
 
 // Phases of a promotion, in order.
 const (
-	// PhaseIdle means that no promotion is due.
+	// PhaseIdle means that no promotion is in progress.
 	PhaseIdle Phase = "Idle"
-	// PhaseRankDelay leaves time for candidates that rank before this one.
+	// PhaseRankDelay leaves time for the instances that rank before this one.
 	PhaseRankDelay Phase = "RankDelay"
-	// PhaseDrain fences the old primary after its running transactions.
+	// PhaseDrain fences the old primary in a handover, after its running
+	// transactions have finished or the drain time has passed.
 	PhaseDrain Phase = "Drain"
-	// PhaseCatchUp waits until the target of a handover has the whole log.
+	// PhaseCatchUp waits until the target of a handover has received the old
+	// primary's whole log.
 	PhaseCatchUp Phase = "CatchUp"
-	// PhaseFence collects promises of a majority.
+	// PhaseFence collects promises of the term from a majority of servers.
 	PhaseFence Phase = "Fence"
-	// PhasePromote makes the chosen server primary.
+	// PhasePromote makes the chosen server the primary.
 	PhasePromote Phase = "Promote"
-	// PhaseEstablish waits until a majority holds the new term.
+	// PhaseEstablish waits until the new term is established.
 	PhaseEstablish Phase = "Establish"
-	// PhaseBackoff waits after a lost attempt.
+	// PhaseBackoff waits after a failed attempt.
 	PhaseBackoff Phase = "Backoff"
 )
 
-// CallKind names a control call.
+// CallKind is the kind of a control call.
 type CallKind string
 
-// Control calls that a promoter asks for.
+// Kinds of control calls that a promoter requests.
 const (
 	CallFence   CallKind = "Fence"
 	CallPromote CallKind = "Promote"
 	CallWait    CallKind = "Wait"
 )
 
-// Call is a control call that a promoter asks for.
+// Call is a control call that a promoter requests.
 type Call struct {
-	// Drain is the time for running transactions; set for CallFence.
+	// Drain is the time that running transactions get to finish; it is used by
+	// CallFence.
 	Drain time.Duration
 	Kind  CallKind
-	// Position is what CallWait waits for.
+	// Position is the position that CallWait waits for.
 	Position fleet.Position
 	Server   fleet.ServerID
-	// Term is the term to promise or to lead.
+	// Term is the term of the attempt: the one to promise or to become primary of.
 	Term fleet.Term
-	// Timeout bounds the call.
+	// Timeout limits the call.
 	Timeout time.Duration
 }
 
-// CallResult is the outcome of a Call.
+// CallResult is the result of a Call.
 type CallResult struct {
 	Call Call
-	// Failed means that the call returned an error. It may have taken effect.
+	// Failed means that the call returned an error. It may still have taken
+	// effect.
 	Failed bool
-	// Granted means that a promise was given; set for CallFence.
+	// Granted means that the server promised the term; it is set by CallFence.
 	Granted bool
 	Status  ServerStatus
 }
 
-// PromotionRecord holds the times of one promotion. Times that were not
-// reached are zero.
+// PromotionRecord describes one promotion. Times of steps that were not reached
+// are zero.
 type PromotionRecord struct {
-	// Attempts counts the terms that were tried.
+	// Attempts is the number of terms that were tried.
 	Attempts int
-	// Decided is the time at which the first fence was ordered.
+	// DecidedAt is the time at which the first fence call was requested.
 	DecidedAt time.Time
-	// Detected is the time at which the failure or the request was seen.
+	// DetectedAt is the time at which the promoter started to act on the failure
+	// or on the handover request.
 	DetectedAt time.Time
-	// Established is the time at which a majority was known to hold the term.
+	// EstablishedAt is the time at which the term was known to be established.
 	EstablishedAt time.Time
-	// Fenced is the time at which a majority had promised the last term.
+	// FencedAt is the time at which a majority had promised the term of the last
+	// attempt.
 	FencedAt time.Time
 	Group    fleet.GroupID
+	// Handover reports whether this was a planned change of primary.
 	Handover bool
-	// OldTerm is the term of the primary that was replaced.
+	// OldTerm is the term of the replaced primary.
 	OldTerm fleet.Term
-	// Promoted is the time at which the chosen server confirmed.
+	// PromotedAt is the time at which the chosen server confirmed that it is the
+	// primary.
 	PromotedAt time.Time
 	Reason     Reason
-	Server     fleet.ServerID
-	// Suspected is the time at which the suspicion began.
+	// Server is the server that was chosen last.
+	Server fleet.ServerID
+	// SuspectedAt is the time since which the old primary was not Healthy.
 	SuspectedAt time.Time
-	Term        fleet.Term
+	// Term is the term of the last attempt.
+	Term fleet.Term
 }
 
-// PromoterInput is what a promoter decides on besides its own state.
+// PromoterInput is the input of a promoter's step.
 type PromoterInput struct {
 	Detection Detection
 	Now       time.Time
 	Placement Placement
 	Random    *rand.Rand
-	// Rank is this instance's place among the live ones.
+	// Rank is this instance's zero-based rank among the live ones.
 	Rank int
 	View View
 }
 
-// PromoterOutput is what a step of a promoter asks for.
+// PromoterOutput is the output of a promoter's step.
 type PromoterOutput struct {
 	Calls []Call
-	// Record is set when a promotion of this promoter is established.
+	// Record is set when the term of a server that this promoter promoted is
+	// established.
 	Record *PromotionRecord
-	// Wake is the time of the next step that is due without an answer. Zero
-	// means none.
+	// NextStep is the time at which the next step is due even if no result
+	// arrives. Zero means none.
 	NextStep time.Time
 }
 
-// grant is a promise of the current attempt.
+// grant is a server's promise of the current attempt's term.
 type grant struct {
 	server fleet.ServerID
 	status ServerStatus
 }
 
-// retry is a failed call that is repeated at a time.
+// retry is a failed call and the time at which to repeat it.
 type retry struct {
 	at   time.Time
 	call Call
 }
 
-// Promoter orders promotions in one group. It is not safe for concurrent use.
+// Promoter replaces the primary of one group after a failure or for a handover.
+// It is a state machine that requests control calls and is stepped with their
+// results. It is not safe for concurrent use.
 //
-// A promoter sends at most one server a Promote for a term. An answer to
-// Promote can be lost after it took effect, so after a failure it goes on with
-// a higher term instead of another server.
+// A promoter calls Promote on at most one server in each term. The response to
+// Promote can be lost after the call took effect, so after a failure the promoter
+// continues with a higher term rather than with another server in the same term.
 type Promoter struct {
-	// avoid is the server that failed. A majority without it is preferred: a
-	// primary that is cut off from its replicas may have the longest log.
-	avoid    fleet.ServerID
-	chosen   fleet.ServerID
+	// avoidServer is the failed server. A majority of promises without it is
+	// preferred, because a primary that is cut off from its replicas may have
+	// the longest log and would then be chosen again.
+	avoidServer fleet.ServerID
+	// chosen is the target of a handover, and from PhasePromote on the server
+	// that is promoted.
+	chosen fleet.ServerID
+	// deadline is the end of the current phase.
 	deadline time.Time
-	due      time.Time
-	// failures counts the failed calls of Promote in this attempt.
-	failures int
-	grants   []grant
-	group    fleet.GroupID
-	handover *HandoverRequest
-	// hold is the time up to which the choice waits for preferred servers.
-	hold     time.Time
-	lost     int
-	majority int
-	phase    Phase
-	record   PromotionRecord
-	refused  []fleet.ServerID
-	retries  []retry
-	settings Settings
-	term     fleet.Term
-}
-
-// HandoverRequest asks for a planned change of primary.
+	// waitUntil is the end of PhaseRankDelay or PhaseBackoff.
+	waitUntil time.Time
+	// promoteFailures counts the failed Promote calls of the current attempt.
+	promoteFailures int
+	grants          []grant
+	group           fleet.GroupID
+	pendingHandover *HandoverRequest
+	// preferUntil is the time until which PhaseFence waits for promises of
+	// preferred servers.
+	preferUntil time.Time
+	// failedAttempts counts the consecutive failed attempts.
+	failedAttempts int
+	majority       int
+	phase          Phase
+	record         PromotionRecord
+	// refusedBy lists the servers that refused to promise the current term.
+	refusedBy []fleet.ServerID
+	retries   []retry
+	settings  Settings
+	// term is the term of the current or last attempt.
+	term fleet.Term
+}
+
+// HandoverRequest requests a planned change of primary.
 type HandoverRequest struct {
-	// Deadline is the time after which the request is given up if the
-	// primary was not fenced.
+	// Deadline is the time after which the request is dropped if the handover
+	// has not started.
 	Deadline time.Time
-	// Drain is the time for running transactions on the old primary.
+	// Drain is the time that running transactions on the old primary get to
+	// finish.
 	Drain time.Duration
 	// Target is the preferred server; empty means any.
 	Target fleet.ServerID
@@ -173,89 +197,91 @@
 	return &Promoter{group: group, phase: PhaseIdle, settings: settings}
 }
 
-// Handover asks for a planned change of primary. It replaces a request that
-// has not begun.
+// QueueHandover requests a planned change of primary. It replaces an earlier
+// request whose handover has not started.
 func (p *Promoter) QueueHandover(request HandoverRequest) {
-	p.handover = &request
+	p.pendingHandover = &request
 }
 
-// Phase returns the step at which the promoter is.
+// Phase returns the current phase.
 func (p *Promoter) Phase() Phase {
 	return p.phase
 }
 
-// Pending reports whether a requested handover has not begun.
+// HandoverPending reports whether a handover was requested and has not started.
 func (p *Promoter) HandoverPending() bool {
-	return p.handover != nil
+	return p.pendingHandover != nil
 }
 
-// Step advances the promoter by an answer, or by the time alone if answer is nil.
-func (p *Promoter) Step(in PromoterInput, answer *CallResult) PromoterOutput {
+// Step advances the promoter by the result of a call and the passing of time, or
+// by the passing of time alone if result is nil.
+func (p *Promoter) Step(in PromoterInput, result *CallResult) PromoterOutput {
 	var out PromoterOutput
 	p.majority = in.View.Majority()
-	if answer != nil {
-		p.answered(in, *answer, &out)
+	if result != nil {
+		p.handleResult(in, *result, &out)
 	}
 	p.advance(in, &out)
-	p.repeat(in, &out)
-	out.NextStep = p.wake()
+	p.retryDueCalls(in, &out)
+	out.NextStep = p.nextStep()
 	return out
 }
 
-// advance moves on by time and view.
+// advance changes the phase if the time or the view requires it.
 func (p *Promoter) advance(in PromoterInput, out *PromoterOutput) {
 	switch p.phase {
 	case PhaseIdle:
-		p.idle(in, out)
+		p.stepIdle(in, out)
 	case PhaseRankDelay:
-		p.rankDelay(in, out)
+		p.stepRankDelay(in, out)
 	case PhaseDrain, PhaseCatchUp:
 		if !in.Now.Before(p.deadline) {
 			p.fence(in, out)
 		}
 	case PhaseFence, PhasePromote:
 		if in.View.Term > p.term || !in.Now.Before(p.deadline) {
-			p.backOff(in)
+			p.startBackoff(in)
 		} else if p.phase == PhaseFence {
-			p.choose(in, out)
+			p.promoteBest(in, out)
 		}
 	case PhaseEstablish:
-		p.establish(in, out)
+		p.stepEstablish(in, out)
 	case PhaseBackoff:
-		p.resume(in, out)
+		p.stepBackoff(in, out)
 	}
 }
 
-// idle starts a promotion if the primary failed, or a handover.
-func (p *Promoter) idle(in PromoterInput, out *PromoterOutput) {
+// stepIdle starts a promotion if the primary failed, or else a handover if one
+// is pending and possible.
+func (p *Promoter) stepIdle(in PromoterInput, out *PromoterOutput) {
 	if in.Detection.Health == Failed {
-		p.begin(in, in.Detection.Reason, false)
-		p.phase, p.due = PhaseRankDelay, in.Now.Add(time.Duration(in.Rank)*p.settings.RankDelay)
-		p.rankDelay(in, out)
+		p.startRecord(in, in.Detection.Reason, false)
+		p.phase, p.waitUntil = PhaseRankDelay, in.Now.Add(time.Duration(in.Rank)*p.settings.RankDelay)
+		p.stepRankDelay(in, out)
 		return
 	}
-	if p.handover == nil {
+	if p.pendingHandover == nil {
 		return
 	}
-	if !in.Now.Before(p.handover.Deadline) {
-		p.handover = nil
+	if !in.Now.Before(p.pendingHandover.Deadline) {
+		p.pendingHandover = nil
 		return
 	}
-	if p.handover.Target == in.View.Primary && in.View.Primary != "" {
+	if p.pendingHandover.Target == in.View.Primary && in.View.Primary != "" {
 		p.drain(in, in.View.Primary, out)
 		return
 	}
-	if target := handoverTarget(in, *p.handover, p.settings.MaxHandoverLag); target != "" {
+	if target := handoverTarget(in, *p.pendingHandover, p.settings.MaxHandoverLag); target != "" {
 		p.drain(in, target, out)
 	}
 }
 
-// begin opens the record of a promotion.
-func (p *Promoter) begin(in PromoterInput, reason Reason, handover bool) {
-	p.lost = 0
-	p.avoid = ""
+// startRecord starts a promotion and its record.
+func (p *Promoter) startRecord(in PromoterInput, reason Reason, handover bool) {
+	p.failedAttempts = 0
+	p.avoidServer = ""
 	if !handover {
-		p.avoid = in.View.Primary
+		p.avoidServer = in.View.Primary
 	}
 	p.record = PromotionRecord{
 		DetectedAt: in.Now, Group: p.group, Handover: handover, OldTerm: in.View.Term,
@@ -263,14 +289,14 @@
 	}
 }
 
-// drain fences the old primary alone, so that its replicas still confirm the
-// transactions that finish within the drain time.
+// drain starts the drain phase. It fences only the old primary, so that the
+// replicas still accept the transactions that finish within the drain time.
 func (p *Promoter) drain(in PromoterInput, target fleet.ServerID, out *PromoterOutput) {
-	p.begin(in, ReasonNone, true)
-	drain := p.handover.Drain
-	p.handover = nil
+	p.startRecord(in, ReasonNone, true)
+	drain := p.pendingHandover.Drain
+	p.pendingHandover = nil
 	p.chosen = target
-	p.nextTerm(in)
+	p.startAttempt(in)
 	p.phase, p.deadline = PhaseDrain, in.Now.Add(drain+p.settings.StepTimeout)
 	call := Call{
 		Drain: drain, Kind: CallFence, Server: in.View.Primary, Term: p.term,
@@ -279,23 +305,24 @@
 	out.Calls = append(out.Calls, call)
 }
 
-// rankDelay fences when the delay is over, unless the primary came back.
-func (p *Promoter) rankDelay(in PromoterInput, out *PromoterOutput) {
+// stepRankDelay starts fencing when the delay is over. It stops the promotion if
+// the primary is no longer Failed or another term has started.
+func (p *Promoter) stepRankDelay(in PromoterInput, out *PromoterOutput) {
 	if in.Detection.Health != Failed || in.View.Term != p.record.OldTerm {
 		p.phase = PhaseIdle
 		return
 	}
-	if in.Now.Before(p.due) {
+	if in.Now.Before(p.waitUntil) {
 		return
 	}
-	p.nextTerm(in)
+	p.startAttempt(in)
 	p.fence(in, out)
 }
 
-// nextTerm opens an attempt at a term above all that are known.
-func (p *Promoter) nextTerm(in PromoterInput) {
+// startAttempt starts an attempt with a term above all known terms.
+func (p *Promoter) startAttempt(in PromoterInput) {
 	p.term = max(p.term, in.View.HighestPromisedTerm()) + 1
-	p.failures, p.grants, p.refused, p.retries = 0, nil, nil, nil
+	p.promoteFailures, p.grants, p.refusedBy, p.retries = 0, nil, nil, nil
 	p.record.Attempts++
 	p.record.Term = p.term
 	if p.record.DecidedAt.IsZero() {
@@ -303,32 +330,33 @@
 	}
 }
 
-// fence asks the servers that have not promised the term yet.
+// fence starts the fence phase. It requests the promise from all servers that
+// have not promised the term yet.
 func (p *Promoter) fence(in PromoterInput, out *PromoterOutput) {
 	p.phase, p.deadline = PhaseFence, in.Now.Add(p.settings.StepTimeout)
-	p.hold = in.Now.Add(p.settings.StepTimeout / 2)
+	p.preferUntil = in.Now.Add(p.settings.StepTimeout / 2)
 	p.retries = nil
 	for _, server := range in.View.Servers {
-		if p.granted(server.Server) {
+		if p.hasGrant(server.Server) {
 			continue
 		}
 		out.Calls = append(out.Calls, Call{
 			Kind: CallFence, Server: server.Server, Term: p.term, Timeout: p.settings.PollTimeout,
 		})
 	}
-	p.choose(in, out)
+	p.promoteBest(in, out)
 }
 
-// answered handles an answer to a call of the current attempt.
-func (p *Promoter) answered(in PromoterInput, answer CallResult, out *PromoterOutput) {
-	if answer.Call.Term != p.term {
+// handleResult handles the result of a call of the current attempt.
+func (p *Promoter) handleResult(in PromoterInput, result CallResult, out *PromoterOutput) {
+	if result.Call.Term != p.term {
 		return
 	}
-	switch answer.Call.Kind {
+	switch result.Call.Kind {
 	case CallFence:
-		p.fenceAnswered(in, answer, out)
+		p.handleFenceResult(in, result, out)
 	case CallPromote:
-		p.promoteAnswered(in, answer, out)
+		p.handlePromoteResult(in, result, out)
 	case CallWait:
 		if p.phase == PhaseCatchUp {
 			p.fence(in, out)
@@ -336,52 +364,56 @@
 	}
 }
 
-func (p *Promoter) fenceAnswered(in PromoterInput, answer CallResult, out *PromoterOutput) {
+func (p *Promoter) handleFenceResult(in PromoterInput, result CallResult, out *PromoterOutput) {
 	if p.phase != PhaseFence && p.phase != PhaseDrain {
 		return
 	}
 	switch {
-	case answer.Failed:
-		p.retryLater(in, answer.Call)
+	case result.Failed:
+		p.scheduleRetry(in, result.Call)
 		return
-	case !answer.Granted:
-		p.refuse(in, answer.Call.Server)
+	case !result.Granted:
+		p.handleRefusal(in, result.Call.Server)
 		return
-	case !p.granted(answer.Call.Server):
-		p.grants = append(p.grants, grant{server: answer.Call.Server, status: answer.Status})
+	case !p.hasGrant(result.Call.Server):
+		p.grants = append(p.grants, grant{server: result.Call.Server, status: result.Status})
 	}
 	if p.phase == PhaseDrain {
-		p.catchUp(in, answer.Status.Log, out)
+		p.catchUp(in, result.Status.Log, out)
 		return
 	}
-	p.choose(in, out)
+	p.promoteBest(in, out)
 }
 
-// refuse notes a refusal. The attempt is lost when no majority is left.
-func (p *Promoter) refuse(in PromoterInput, server fleet.ServerID) {
-	if !slices.Contains(p.refused, server) {
-		p.refused = append(p.refused, server)
+// handleRefusal records that a server refused the promise. The attempt has failed
+// if that was the old primary in a handover, or if the servers that have not
+// refused are no majority.
+func (p *Promoter) handleRefusal(in PromoterInput, server fleet.ServerID) {
+	if !slices.Contains(p.refusedBy, server) {
+		p.refusedBy = append(p.refusedBy, server)
 	}
-	if p.phase == PhaseDrain || len(in.View.Servers)-len(p.refused) < in.View.Majority() {
-		p.backOff(in)
+	if p.phase == PhaseDrain || len(in.View.Servers)-len(p.refusedBy) < in.View.Majority() {
+		p.startBackoff(in)
 	}
 }
 
-// catchUp waits until the target has the log that the old primary ended with.
-func (p *Promoter) catchUp(in PromoterInput, end fleet.Position, out *PromoterOutput) {
+// catchUp starts the catch-up phase, in which the target receives the old
+// primary's log up to its end.
+func (p *Promoter) catchUp(in PromoterInput, logEnd fleet.Position, out *PromoterOutput) {
 	p.phase, p.deadline = PhaseCatchUp, in.Now.Add(p.settings.CatchUpTimeout)
 	out.Calls = append(out.Calls, Call{
-		Kind: CallWait, Position: end, Server: p.chosen, Term: p.term, Timeout: p.settings.CatchUpTimeout,
+		Kind: CallWait, Position: logEnd, Server: p.chosen, Term: p.term, Timeout: p.settings.CatchUpTimeout,
 	})
 }
 
-// choose promotes the server with the highest log end once a majority promised.
-func (p *Promoter) choose(in PromoterInput, out *PromoterOutput) {
+// promoteBest promotes the server with the highest log end once a majority has
+// promised the term.
+func (p *Promoter) promoteBest(in PromoterInput, out *PromoterOutput) {
 	candidates := p.candidates(in)
 	if len(candidates) < in.View.Majority() {
 		return
 	}
-	best := slices.MaxFunc(candidates, func(a, b grant) int { return p.compare(in, a, b) })
+	best := slices.MaxFunc(candidates, func(a, b grant) int { return p.compareGrants(in, a, b) })
 	p.chosen = best.server
 	p.record.FencedAt, p.record.Server = in.Now, best.server
 	p.phase, p.deadline = PhasePromote, in.Now.Add(p.settings.StepTimeout)
@@ -391,28 +423,30 @@
 	})
 }
 
-// candidates returns the promises to choose from. Any majority of promises is
-// safe to choose from, so the choice waits a while for one that excludes the
-// failed server, or that includes the target of a handover.
+// candidates returns the promises to choose from. It is safe to choose from any
+// majority of promises, so until preferUntil, or until all servers have responded,
+// it waits for a majority that excludes the failed server, or that includes the
+// target of a handover.
 func (p *Promoter) candidates(in PromoterInput) []grant {
-	waiting := in.Now.Before(p.hold) && len(p.grants)+len(p.refused) < len(in.View.Servers)
-	if p.chosen != "" && !p.granted(p.chosen) && !slices.Contains(p.refused, p.chosen) && waiting {
+	waiting := in.Now.Before(p.preferUntil) && len(p.grants)+len(p.refusedBy) < len(in.View.Servers)
+	if p.chosen != "" && !p.hasGrant(p.chosen) && !slices.Contains(p.refusedBy, p.chosen) && waiting {
 		return nil
 	}
-	others := slices.DeleteFunc(slices.Clone(p.grants), func(g grant) bool { return g.server == p.avoid })
-	if len(others) >= in.View.Majority() || waiting {
-		return others
+	preferred := slices.DeleteFunc(slices.Clone(p.grants), func(g grant) bool { return g.server == p.avoidServer })
+	if len(preferred) >= in.View.Majority() || waiting {
+		return preferred
 	}
 	return p.grants
 }
 
-// compare orders grants by log end, then by placement, handover target and id.
-func (p *Promoter) compare(in PromoterInput, a, b grant) int {
-	if c := a.status.Log.Compare(b.status.Log); c != 0 {
-		return c
+// compareGrants orders grants by log end, then by placement and handover target,
+// and then by server ID, where the lower ID ranks higher.
+func (p *Promoter) compareGrants(in PromoterInput, a, b grant) int {
+	if order := a.status.Log.Compare(b.status.Log); order != 0 {
+		return order
 	}
-	if c := preference(in, a.server, p.chosen) - preference(in, b.server, p.chosen); c != 0 {
-		return c
+	if order := placementScore(in, a.server, p.chosen) - placementScore(in, b.server, p.chosen); order != 0 {
+		return order
 	}
 	if a.server < b.server {
 		return 1
@@ -420,45 +454,47 @@
 	return -1
 }
 
-// preference weighs servers with equal logs: not leaving first, then in
-// service, then the target of a handover.
-func preference(in PromoterInput, id, target fleet.ServerID) int {
+// placementScore returns the preference for a server among those with equal logs.
+// Not leaving counts most, then a data centre in service, then being the target
+// of a handover.
+func placementScore(in PromoterInput, id, target fleet.ServerID) int {
 	server, _ := in.View.Server(id)
-	weight := 0
+	score := 0
 	if !in.Placement.isLeaving(server.Member) {
-		weight += 4
+		score += 4
 	}
-	if !in.Placement.isOut(server.Member) {
-		weight += 2
+	if !in.Placement.isOutOfService(server.Member) {
+		score += 2
 	}
 	if id == target {
-		weight++
+		score++
 	}
-	return weight
+	return score
 }
 
-func (p *Promoter) promoteAnswered(in PromoterInput, answer CallResult, out *PromoterOutput) {
+func (p *Promoter) handlePromoteResult(in PromoterInput, result CallResult, out *PromoterOutput) {
 	if p.phase != PhasePromote {
 		return
 	}
-	status := answer.Status
+	status := result.Status
 	switch {
-	case answer.Failed && p.failures+1 < promoteTries:
-		p.failures++
-		p.retryLater(in, answer.Call)
-	case answer.Failed:
-		p.backOff(in)
+	case result.Failed && p.promoteFailures+1 < maxPromoteCalls:
+		p.promoteFailures++
+		p.scheduleRetry(in, result.Call)
+	case result.Failed:
+		p.startBackoff(in)
 	case status.PromisedTerm > p.term || status.Term != p.term || status.Role != RolePrimary:
-		p.backOff(in)
+		p.startBackoff(in)
 	default:
 		p.phase, p.deadline = PhaseEstablish, in.Now.Add(p.settings.EstablishTimeout)
 		p.record.PromotedAt = in.Now
-		p.awaitStart(in, status.Log, out)
+		p.waitForTermStart(in, status.Log, out)
 	}
 }
 
-// awaitStart asks the other servers to answer when they have the start of the term.
-func (p *Promoter) awaitStart(in PromoterInput, start fleet.Position, out *PromoterOutput) {
+// waitForTermStart makes the other servers respond as soon as they have received
+// the start of the term, so that its establishment is seen without delay.
+func (p *Promoter) waitForTermStart(in PromoterInput, start fleet.Position, out *PromoterOutput) {
 	for _, server := range in.View.Servers {
 		if server.Server == p.chosen {
 			continue
@@ -469,68 +505,73 @@
 	}
 }
 
-// establish ends the promotion when the term, or a later one, is established.
-func (p *Promoter) establish(in PromoterInput, out *PromoterOutput) {
+// stepEstablish ends the promotion once the term is established. It backs off if
+// a later term is known, the new primary fails, or the time is over.
+func (p *Promoter) stepEstablish(in PromoterInput, out *PromoterOutput) {
 	switch {
 	case in.View.EstablishedHistory.LastTerm() == p.term:
 		p.record.EstablishedAt = in.Now
 		record := p.record
 		out.Record = &record
-		p.stop()
+		p.reset()
 	case in.View.Term > p.term || in.Detection.Health == Failed || !in.Now.Before(p.deadline):
-		p.backOff(in)
+		p.startBackoff(in)
 	}
 }
 
-// resume ends a back-off: the promoter stops if there is a healthy primary,
-// or else tries the next term.
-func (p *Promoter) resume(in PromoterInput, out *PromoterOutput) {
+// stepBackoff returns to idle if there is an established primary that has not
+// failed. Otherwise it starts the next attempt when the back-off is over, or
+// backs off again if this instance reaches no majority of the servers.
+func (p *Promoter) stepBackoff(in PromoterInput, out *PromoterOutput) {
 	if in.View.Primary != "" && in.View.Established && in.Detection.Health != Failed {
-		p.stop()
+		p.reset()
 		return
 	}
-	if in.Now.Before(p.due) {
+	if in.Now.Before(p.waitUntil) {
 		return
 	}
 	if in.Detection.Reason == ReasonNoMajority {
-		p.due = in.Now.Add(p.backoff(in.Random))
+		p.waitUntil = in.Now.Add(p.backoffDelay(in.Random))
 		return
 	}
-	p.nextTerm(in)
+	p.startAttempt(in)
 	p.fence(in, out)
 }
 
-// backOff waits before the next attempt.
-func (p *Promoter) backOff(in PromoterInput) {
-	p.lost++
+// startBackoff ends a failed attempt and starts the back-off. If the server that
+// was to be promoted is at fault, the next attempt avoids it.
+func (p *Promoter) startBackoff(in PromoterInput) {
+	p.failedAttempts++
 	if p.phase == PhasePromote || p.phase == PhaseEstablish {
-		p.avoid = p.chosen
+		p.avoidServer = p.chosen
 	}
-	p.phase, p.due = PhaseBackoff, in.Now.Add(p.backoff(in.Random))
+	p.phase, p.waitUntil = PhaseBackoff, in.Now.Add(p.backoffDelay(in.Random))
 	p.chosen, p.retries = "", nil
 }
 
-// backoff returns a random wait that grows with the number of lost attempts.
-func (p *Promoter) backoff(random *rand.Rand) time.Duration {
-	limit := p.settings.BackoffMin << min(p.lost, 16)
+// backoffDelay returns a random delay whose range grows with the number of failed
+// attempts.
+func (p *Promoter) backoffDelay(random *rand.Rand) time.Duration {
+	limit := p.settings.BackoffMin << min(p.failedAttempts, 16)
 	limit = min(limit, p.settings.BackoffMax)
 	return p.settings.BackoffMin/2 + time.Duration(random.Int64N(int64(limit)))
 }
 
-func (p *Promoter) stop() {
-	p.phase, p.chosen, p.lost, p.retries = PhaseIdle, "", 0, nil
+func (p *Promoter) reset() {
+	p.phase, p.chosen, p.failedAttempts, p.retries = PhaseIdle, "", 0, nil
 }
 
-func (p *Promoter) granted(server fleet.ServerID) bool {
+func (p *Promoter) hasGrant(server fleet.ServerID) bool {
 	return slices.ContainsFunc(p.grants, func(g grant) bool { return g.server == server })
 }
 
-func (p *Promoter) retryLater(in PromoterInput, call Call) {
+// scheduleRetry schedules a failed call to be repeated after RetryInterval.
+func (p *Promoter) scheduleRetry(in PromoterInput, call Call) {
 	p.retries = append(p.retries, retry{at: in.Now.Add(p.settings.RetryInterval), call: call})
 }
 
-// repeat asks again for failed calls whose time has come.
-func (p *Promoter) repeat(in PromoterInput, out *PromoterOutput) {
+// retryDueCalls requests the failed calls that are due again.
+func (p *Promoter) retryDueCalls(in PromoterInput, out *PromoterOutput) {
 	p.retries = slices.DeleteFunc(p.retries, func(r retry) bool {
 		if in.Now.Before(r.at) {
 			return false
@@ -540,39 +581,42 @@
 	})
 }
 
-// wake returns the time of the next step that is due without an answer.
-func (p *Promoter) wake() time.Time {
-	var wake time.Time
+// nextStep returns the time at which the next step is due even if no result
+// arrives. Zero means none.
+func (p *Promoter) nextStep() time.Time {
+	var nextStep time.Time
 	switch p.phase {
 	case PhaseIdle:
-		return wake
+		return nextStep
 	case PhaseRankDelay, PhaseBackoff:
-		return p.due
+		return p.waitUntil
 	default:
-		wake = p.deadline
+		nextStep = p.deadline
 	}
-	if p.phase == PhaseFence && len(p.grants) >= p.majority && p.hold.Before(wake) {
-		wake = p.hold
+	if p.phase == PhaseFence && len(p.grants) >= p.majority && p.preferUntil.Before(nextStep) {
+		nextStep = p.preferUntil
 	}
 	for _, r := range p.retries {
-		if r.at.Before(wake) {
-			wake = r.at
+		if r.at.Before(nextStep) {
+			nextStep = r.at
 		}
 	}
-	return wake
+	return nextStep
 }
 
-// handoverTarget returns the replica to hand over to: one that is a target by
-// placement and covers a sample no older than lag. The preferred one comes
-// first, then the longest log, then the lowest id.
-func handoverTarget(in PromoterInput, request HandoverRequest, lag time.Duration) fleet.ServerID {
+// handoverTarget returns the replica to hand over to, or none. The replica must be
+// eligible by placement, must have responded recently, and its log must cover a
+// confirmed position no older than maxLag. The requested target is taken if it
+// qualifies, otherwise the replica with the longest log, and of equal ones that
+// with the lowest ID.
+func handoverTarget(in PromoterInput, request HandoverRequest, maxLag time.Duration) fleet.ServerID {
 	var best ServerView
-	since := in.Now.Add(-lag)
+	notBefore := in.Now.Add(-maxLag)
 	for _, server := range in.View.Servers {
-		if server.Server == in.View.Primary || !in.Placement.IsEligible(server.Member) || !server.RespondedSince(since) {
+		if server.Server == in.View.Primary || !in.Placement.IsEligible(server.Member) || !server.RespondedSince(notBefore) {
 			continue
 		}
-		if !coversSample(in.View, server.Status.Log, since) {
+		if !coversConfirmedSince(in.View, server.Status.Log, notBefore) {
 			continue
 		}
 		if server.Server == request.Target {
@@ -585,11 +629,13 @@
 	return best.Server
 }
 
-// HandoverDue returns the handover that this instance has to order, if it
-// ranks first. One is due if the primary is not a target by placement but a
-// replica is. One to the primary itself is due if a server promised a later
-// term for delay: it follows again once the primary leads a higher term.
-func HandoverDue(in PromoterInput, delay time.Duration) (target fleet.ServerID, due bool) {
+// HandoverDue reports whether this instance has to start a handover, and the
+// target of it; an empty target means any. Only the instance that ranks first
+// starts one. A handover is due if the primary is not eligible by placement but a
+// replica is. A handover to the primary itself is due if a server has promised a
+// later term for at least delay: the server follows the primary again once the
+// primary has a higher term.
+func HandoverDue(in PromoterInput, delay time.Duration) (target fleet.ServerID, isDue bool) {
 	primary, found := in.View.Server(in.View.Primary)
 	if !found || in.Rank != 0 || !in.View.Established {
 		return "", false
@@ -599,6 +645,6 @@
 			return s.Server != primary.Server && in.Placement.IsEligible(s.Member)
 		})
 	}
-	ahead := in.Detection.Reason == ReasonPromiseAhead && in.Now.Sub(in.Detection.SuspectedAt) >= delay
-	return primary.Server, ahead
+	promiseIsAhead := in.Detection.Reason == ReasonPromiseAhead && in.Now.Sub(in.Detection.SuspectedAt) >= delay
+	return primary.Server, promiseIsAhead
 }
--- a/group/promoter_test.go
+++ b/group/promoter_test.go
@@ -12,38 +12,39 @@
 	"github.com/nutmegpier/nutmegpier/group"
 )
 
-// rival is one promoter with its own view and detector.
+// rival is one of several competing promoters, with its own detector and view.
 type rival struct {
-	detector *group.Detector
-	epoch    fleet.Epoch
-	id       fleet.InstanceID
-	paused   time.Time
-	polled   time.Time
-	promoter *group.Promoter
+	detector    *group.Detector
+	epoch       fleet.Epoch
+	id          fleet.InstanceID
+	pausedUntil time.Time
+	nextPoll    time.Time
+	promoter    *group.Promoter
 }
 
-// message is a call on its way to a server, or an answer on its way back.
+// message is a call in flight to a server, or a response in flight from it.
 type message struct {
-	answer *group.CallResult
-	asked  time.Time
-	call   group.Call
-	due    time.Time
-	epoch  fleet.Epoch
-	rival  int
-	server fleet.ServerID
-	status group.ServerStatus
+	result      *group.CallResult
+	requestedAt time.Time
+	call        group.Call
+	dueAt       time.Time
+	epoch       fleet.Epoch
+	rival       int
+	server      fleet.ServerID
+	status      group.ServerStatus
 }
 
-// rivalModel runs promoters over a network that loses, repeats and reorders.
+// rivalModel runs competing promoters over a network that loses, duplicates and
+// reorders messages.
 type rivalModel struct {
 	*evidenceModel
-	down     map[fleet.ServerID]bool
-	faults   bool
-	messages []message
-	promoted map[fleet.Term]fleet.ServerID
-	random   *rand.Rand
-	records  int
-	rivals   []*rival
+	down       map[fleet.ServerID]bool
+	faults     bool
+	messages   []message
+	promoted   map[fleet.Term]fleet.ServerID
+	random     *rand.Rand
+	promotions int
+	rivals     []*rival
 }
 
 func newRivalModel(size int, random *rand.Rand) *rivalModel {
@@ -59,7 +60,7 @@
 	return m
 }
 
-// restart replaces an instance by a new run that knows nothing.
+// restart restarts an instance, which loses all its state.
 func (m *rivalModel) restart(n int) {
 	r := m.rivals[n]
 	r.epoch++
@@ -68,13 +69,13 @@
 	m.views[n] = modelView(m.servers)
 }
 
-// tick advances the time by 10 ms.
+// tick advances the time by 10 ms and runs everything that is due.
 func (m *rivalModel) tick() error {
 	m.now = m.now.Add(10 * time.Millisecond)
 	if m.faults {
-		m.fault()
+		m.injectFault()
 	}
-	if m.pick(5) == 0 {
+	if m.randomIndex(5) == 0 {
 		m.write()
 	}
 	m.replicateAll()
@@ -82,38 +83,39 @@
 		return err
 	}
 	for n, r := range m.rivals {
-		if m.now.Before(r.paused) {
+		if m.now.Before(r.pausedUntil) {
 			continue
 		}
-		m.step(n, nil)
-		if !m.now.Before(r.polled) {
-			r.polled = m.now.Add(50 * time.Millisecond)
+		m.stepPromoter(n, nil)
+		if !m.now.Before(r.nextPoll) {
+			r.nextPoll = m.now.Add(50 * time.Millisecond)
 			for _, s := range m.servers {
-				m.send(message{asked: m.now, rival: n, epoch: r.epoch, server: s.id})
+				m.send(message{requestedAt: m.now, rival: n, epoch: r.epoch, server: s.id})
 			}
 		}
 	}
 	return nil
 }
 
-func (m *rivalModel) fault() {
-	s, n := m.server(), m.pick(len(m.rivals))
-	switch m.pick(150) {
+func (m *rivalModel) injectFault() {
+	s, n := m.randomServer(), m.randomIndex(len(m.rivals))
+	switch m.randomIndex(150) {
 	case 0:
 		m.down[s.id] = true
 	case 1, 2:
-		m.downPrimary()
+		m.stopPrimary()
 	case 3, 4, 7:
 		delete(m.down, s.id)
 	case 5:
-		m.rivals[n].paused = m.now.Add(time.Duration(m.pick(2000)) * time.Millisecond)
+		m.rivals[n].pausedUntil = m.now.Add(time.Duration(m.randomIndex(2000)) * time.Millisecond)
 	case 6:
 		m.restart(n)
 	}
 }
 
-// downPrimary stops the newest primary if a majority remains.
-func (m *rivalModel) downPrimary() {
+// stopPrimary stops the primary of the highest term if a majority of the servers
+// stays up.
+func (m *rivalModel) stopPrimary() {
 	var primary *modelServer
 	for _, s := range m.servers {
 		if s.role == group.RolePrimary && (primary == nil || s.term > primary.term) {
@@ -128,33 +130,33 @@
 func (m *rivalModel) replicateAll() {
 	for _, from := range m.servers {
 		for _, to := range m.servers {
-			if from == to || m.down[from.id] || m.down[to.id] || (m.faults && m.pick(4) == 0) {
+			if from == to || m.down[from.id] || m.down[to.id] || (m.faults && m.randomIndex(4) == 0) {
 				continue
 			}
 			end := len(from.log)
 			if m.faults {
-				end = 1 + m.pick(end)
+				end = 1 + m.randomIndex(end)
 			}
 			from.replicate(to, end)
 			if from.role == group.RolePrimary && to.term == from.term {
-				to.contact = m.now
+				to.lastContact = m.now
 			}
 		}
 	}
 }
 
-// send puts a message under way. With faults it may be lost or repeated.
+// send sends a message. With faults it may be lost, delayed or duplicated.
 func (m *rivalModel) send(msg message) {
 	copies := 1
 	delay := 10
 	if m.faults {
-		copies = []int{0, 1, 1, 1, 1, 1, 1, 2}[m.pick(8)]
-		if m.pick(6) == 0 {
-			delay = m.pick(500)
+		copies = []int{0, 1, 1, 1, 1, 1, 1, 2}[m.randomIndex(8)]
+		if m.randomIndex(6) == 0 {
+			delay = m.randomIndex(500)
 		}
 	}
 	for range copies {
-		msg.due = m.now.Add(time.Duration(delay) * time.Millisecond)
+		msg.dueAt = m.now.Add(time.Duration(delay) * time.Millisecond)
 		m.messages = append(m.messages, msg)
 		delay += 20
 	}
@@ -165,16 +167,16 @@
 	m.messages = nil
 	for _, msg := range messages {
 		r := m.rivals[msg.rival]
-		toInstance := msg.answer != nil
+		toInstance := msg.result != nil
 		switch {
-		case msg.due.After(m.now) || (toInstance && m.now.Before(r.paused)):
+		case msg.dueAt.After(m.now) || (toInstance && m.now.Before(r.pausedUntil)):
 			m.messages = append(m.messages, msg)
 		case toInstance && msg.epoch == r.epoch:
-			if err := m.answered(msg); err != nil {
+			if err := m.handleResponse(msg); err != nil {
 				return err
 			}
 		case !toInstance && !m.down[msg.server]:
-			if err := m.serve(msg); err != nil {
+			if err := m.handleCall(msg); err != nil {
 				return err
 			}
 		}
@@ -182,8 +184,8 @@
 	return nil
 }
 
-// serve carries out a call on a server and sends the answer.
-func (m *rivalModel) serve(msg message) error {
+// handleCall runs a call on a server and sends the response.
+func (m *rivalModel) handleCall(msg message) error {
 	var s *modelServer
 	for _, known := range m.servers {
 		if known.id == msg.server {
@@ -191,13 +193,13 @@
 		}
 	}
 	holder := group.PromiseHolder(m.rivals[msg.rival].id, msg.epoch)
-	answer := &group.CallResult{Call: msg.call}
+	result := &group.CallResult{Call: msg.call}
 	switch msg.call.Kind {
 	case group.CallFence:
-		answer.Granted = s.fence(msg.call.Term, holder)
+		result.Granted = s.fence(msg.call.Term, holder)
 	case group.CallPromote:
-		answer.Failed = s.promote(msg.call.Term, holder) != nil
-		if !answer.Failed {
+		result.Failed = s.promote(msg.call.Term, holder) != nil
+		if !result.Failed {
 			if known, found := m.promoted[msg.call.Term]; found && known != s.id {
 				return fmt.Errorf("%s and %s were promoted in term %d", known, s.id, msg.call.Term)
 			}
@@ -207,56 +209,57 @@
 			}
 		}
 	}
-	answer.Status = s.status(m.now)
-	msg.answer, msg.status = answer, answer.Status
+	result.Status = s.status(m.now)
+	msg.result, msg.status = result, result.Status
 	m.send(msg)
 	return nil
 }
 
-func (m *rivalModel) answered(msg message) error {
-	o := group.Observation{RespondedAt: m.now, RequestedAt: msg.asked, Server: msg.server, Status: msg.status}
-	if !msg.answer.Failed {
-		if err := m.observe(msg.rival, o); err != nil {
+func (m *rivalModel) handleResponse(msg message) error {
+	observation := group.Observation{RespondedAt: m.now, RequestedAt: msg.requestedAt, Server: msg.server, Status: msg.status}
+	if !msg.result.Failed {
+		if err := m.observe(msg.rival, observation); err != nil {
 			return err
 		}
 	}
 	if msg.call.Kind != "" {
-		m.step(msg.rival, msg.answer)
+		m.stepPromoter(msg.rival, msg.result)
 	}
 	return nil
 }
 
-func (m *rivalModel) step(n int, answer *group.CallResult) {
+func (m *rivalModel) stepPromoter(n int, result *group.CallResult) {
 	r := m.rivals[n]
 	in := group.PromoterInput{
 		Detection: r.detector.Step(m.now, m.views[n], nil, len(m.rivals)),
 		Now:       m.now, Random: m.random, Rank: n, View: m.views[n],
 	}
-	out := r.promoter.Step(in, answer)
+	out := r.promoter.Step(in, result)
 	if out.Record != nil {
-		m.records++
+		m.promotions++
 	}
 	for _, call := range out.Calls {
-		m.send(message{asked: m.now, call: call, rival: n, epoch: r.epoch, server: call.Server})
+		m.send(message{requestedAt: m.now, call: call, rival: n, epoch: r.epoch, server: call.Server})
 	}
 }
 
-// settle ends the faults and runs until all instances know an established primary.
-func (m *rivalModel) settle(bound time.Duration) error {
+// runUntilEstablished stops the faults and runs until all instances know the same
+// established term and its primary.
+func (m *rivalModel) runUntilEstablished(timeout time.Duration) error {
 	m.faults = false
 	m.down = map[fleet.ServerID]bool{}
-	for end := m.now.Add(bound); m.now.Before(end); {
+	for end := m.now.Add(timeout); m.now.Before(end); {
 		if err := m.tick(); err != nil {
 			return err
 		}
-		if m.settled() {
+		if m.allEstablished() {
 			return nil
 		}
 	}
-	return fmt.Errorf("no established primary within %v: %+v", bound, m.views)
+	return fmt.Errorf("no established primary within %v: %+v", timeout, m.views)
 }
 
-func (m *rivalModel) settled() bool {
+func (m *rivalModel) allEstablished() bool {
 	for n, view := range m.views {
 		if !view.Established || view.Primary == "" || view.Term != m.views[0].Term || m.rivals[n].promoter.Phase() != group.PhaseIdle {
 			return false
@@ -265,8 +268,8 @@
 	return true
 }
 
-// TestPromoterRivals guards against two primaries in one term, acknowledged
-// writes that are lost, and promoters that hinder each other for ever.
+// TestPromoterRivals guards against two primaries in one term, lost acknowledged
+// writes, and competing promoters that prevent each other from succeeding forever.
 func TestPromoterRivals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int{3, 5}).Draw(t, "size")
@@ -277,15 +280,16 @@
 				t.Fatal(err)
 			}
 		}
-		if err := m.settle(8 * time.Second); err != nil {
+		if err := m.runUntilEstablished(8 * time.Second); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestPromoterRivalsPromote guards against a model in which nothing is promoted.
+// TestPromoterRivalsPromote guards against a model in which hardly any server is
+// promoted and hardly any write is committed.
 func TestPromoterRivalsPromote(t *testing.T) {
-	records, committed := 0, 0
+	promotions, committed := 0, 0
 	for seed := range uint64(20) {
 		m := newRivalModel(3, rand.New(rand.NewPCG(seed, 6)))
 		for range 800 {
@@ -293,14 +297,15 @@
 				t.Fatal(err)
 			}
 		}
-		records, committed = records+m.records, committed+len(m.committed)
+		promotions, committed = promotions+m.promotions, committed+len(m.committed)
 	}
-	if records < 10 || committed < 100 {
-		t.Errorf("%d promotions and %d commits in 20 runs, want at least 10 and 100", records, committed)
+	if promotions < 10 || committed < 100 {
+		t.Errorf("%d promotions and %d commits in 20 runs, want at least 10 and 100", promotions, committed)
 	}
 }
 
-// TestRankOrdersAll guards against two candidates with the same delay.
+// TestRankOrdersAll guards against two instances with the same rank, and so the
+// same delay.
 func TestRankOrdersAll(t *testing.T) {
 	live := []fleet.InstanceID{"1", "2", "3", "4", "5"}
 	for _, id := range []fleet.GroupID{"stock", "orders", "plant"} {
@@ -308,15 +313,15 @@
 		for _, self := range live {
 			rank := group.Rank(id, self, live)
 			if taken[rank] || rank >= len(live) {
-				t.Errorf("group %s: rank %d of %s is taken or too large", id, rank, self)
+				t.Errorf("group %s: rank %d of %s is a duplicate or too large", id, rank, self)
 			}
 			taken[rank] = true
 		}
 	}
 }
 
-// TestPromoterAbortsOnRecovery guards against a promotion of a primary that
-// came back while a candidate waited for its turn.
+// TestPromoterAbortsOnRecovery guards against a promotion although the primary
+// recovered during the rank delay.
 func TestPromoterAbortsOnRecovery(t *testing.T) {
 	now := time.Unix(1000, 0)
 	settings := group.DefaultSettings()
@@ -327,7 +332,7 @@
 	promoter := group.NewPromoter("g", settings)
 	out := promoter.Step(in, nil)
 	if want := now.Add(2 * settings.RankDelay); len(out.Calls) > 0 || !out.NextStep.Equal(want) {
-		t.Errorf("%d calls, wake %v, want none and %v", len(out.Calls), out.NextStep, want)
+		t.Errorf("%d calls, next step at %v, want none and %v", len(out.Calls), out.NextStep, want)
 	}
 	in.Now = out.NextStep
 	in.Detection.Health = group.Healthy
@@ -337,6 +342,6 @@
 	in.Detection.Health = group.Failed
 	in.Rank = 0
 	if out = promoter.Step(in, nil); len(out.Calls) != 3 {
-		t.Errorf("%d calls at rank 0, want a fence of 3 servers", len(out.Calls))
+		t.Errorf("%d calls at rank 0, want 3 fence calls", len(out.Calls))
 	}
 }
--- a/group/rank.go
+++ b/group/rank.go
@@ -6,30 +6,31 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// PromiseHolder returns the name under which one run of an instance takes promises.
-// A restarted instance has another epoch, so it never uses a promise that its
-// earlier run may already have used to promote a server.
+// PromiseHolder returns the holder name that one run of an instance gives to
+// servers when it asks for a promise. A restarted instance has another epoch,
+// so it never uses a promise that its previous run may already have used to
+// promote a server.
 func PromiseHolder(instance fleet.InstanceID, epoch fleet.Epoch) fleet.InstanceID {
 	return instance + "@" + fleet.InstanceID(strconv.FormatUint(uint64(epoch), 16))
 }
 
-// Rank returns the place of an instance among the live ones for a group by
-// rendezvous hashing, counted from zero. An instance that is not listed as
-// live counts as one more.
+// Rank returns the zero-based rank of an instance among the live instances for
+// a group, by rendezvous hashing. An instance that is not in the live list is
+// ranked as if it were.
 func Rank(group fleet.GroupID, self fleet.InstanceID, live []fleet.InstanceID) int {
-	own := fleet.OwnerWeight(string(group), self)
+	ownWeight := fleet.OwnerWeight(string(group), self)
 	rank := 0
 	for _, other := range live {
-		w := fleet.OwnerWeight(string(group), other)
-		if w > own || (w == own && other < self) {
+		weight := fleet.OwnerWeight(string(group), other)
+		if weight > ownWeight || (weight == ownWeight && other < self) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// Pollers returns the instances that poll a group: the count live ones that
-// rank first for it, in the order of rank.
+// Pollers returns the instances that poll a group: the first count live
+// instances by rank, in the order of rank.
 func Pollers(group fleet.GroupID, live []fleet.InstanceID, count int) []fleet.InstanceID {
 	return fleet.Owners(string(group), live, count)
 }
--- a/group/rank_test.go
+++ b/group/rank_test.go
@@ -20,8 +20,8 @@
 	return live
 }
 
-// TestPollers guards against instances that disagree on the pollers of a
-// group, and against pollers that move although they stay live.
+// TestPollers guards against instances that disagree on the pollers of a group,
+// and against a poller that is replaced although it stays live.
 func TestPollers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		live := manyInstances(rapid.IntRange(0, 12).Draw(t, "live"))
@@ -38,7 +38,7 @@
 		}
 		shuffled := rapid.Permutation(live).Draw(t, "order")
 		if diff := cmp.Diff(pollers, group.Pollers(id, append(shuffled, live...), count)); diff != "" {
-			t.Fatalf("pollers by another order of the list, with repetitions (-want +got):\n%s", diff)
+			t.Fatalf("pollers for the live list in another order and with duplicates (-want +got):\n%s", diff)
 		}
 		if len(live) == 0 {
 			return
@@ -47,14 +47,14 @@
 		rest := slices.DeleteFunc(slices.Clone(live), func(i fleet.InstanceID) bool { return i == gone })
 		for _, poller := range pollers {
 			if poller != gone && !slices.Contains(group.Pollers(id, rest, count), poller) {
-				t.Fatalf("%s polls no more after %s left", poller, gone)
+				t.Fatalf("%s no longer polls after %s left", poller, gone)
 			}
 		}
 	})
 }
 
-// TestPollersSpread guards against an instance that polls far more groups
-// than the others.
+// TestPollersSpread guards against an instance that polls far more or far fewer
+// groups than the others.
 func TestPollersSpread(t *testing.T) {
 	const groups, instances, count = 3900, 34, 2
 	polled := map[fleet.InstanceID]int{}
@@ -72,7 +72,8 @@
 	}
 }
 
-// BenchmarkPollers measures the choice of the pollers of one group.
+// BenchmarkPollers measures the selection of the pollers of one group, by the
+// number of instances.
 func BenchmarkPollers(b *testing.B) {
 	for _, instances := range []int{9, 340, 3400} {
 		live := manyInstances(instances)
--- a/group/strategy.go
+++ b/group/strategy.go
@@ -10,47 +10,50 @@
 )
 
 const (
-	// distanceStep is the difference of round trips that counts as distance.
-	// Smaller ones are noise inside a region, and following them would send
-	// the requests of all instances to the same replica.
-	distanceStep = 5 * time.Millisecond
-	// usualServers is the group size up to which a choice allocates its result only.
-	usualServers = 8
+	// roundTripBucket is the width of the buckets in which round-trip times
+	// are compared. Smaller differences are noise inside a region, and acting
+	// on them would send the requests of all instances to the same replica.
+	roundTripBucket = 5 * time.Millisecond
+	// commonGroupSize is the group size up to which ReadCandidates allocates
+	// nothing but its result.
+	commonGroupSize = 8
 )
 
-// Strategy orders the replicas that are fresh enough for a read.
+// Strategy is how the replicas that are fresh enough for a read are ordered.
 type Strategy string
 
-// Strategies of replica choice.
+// Strategies for ordering replicas.
 const (
-	// FreshnessDistance prefers few outstanding requests, then distance, then
-	// chance.
+	// FreshnessDistance orders by outstanding requests, then by network
+	// distance, then at random.
 	FreshnessDistance Strategy = "FreshnessDistance"
-	// LeastOutstanding prefers few outstanding requests, then chance.
+	// LeastOutstanding orders by outstanding requests, then at random.
 	LeastOutstanding Strategy = "LeastOutstanding"
-	// Random leaves the order to chance.
+	// Random orders replicas at random.
 	Random Strategy = "Random"
-	// SampledTwo compares the outstanding requests of two random replicas.
+	// SampledTwo takes two random replicas and puts the one with fewer
+	// outstanding requests first (power of two choices).
 	SampledTwo Strategy = "SampledTwo"
 )
 
-// Load is the number of requests that this instance has running on a server.
+// Load is the number of requests from this instance that are running on
+// or waiting for a server.
 type Load struct {
 	Outstanding int
 	Server      fleet.ServerID
 }
 
-// ReplicaSelection says how to order the candidates of a read.
+// ReplicaSelection defines how the candidates of a read are ordered.
 type ReplicaSelection struct {
 	Loads     []Load
 	Placement Placement
-	// Random must be set, except for FreshnessDistance, which without it orders
-	// equal replicas by id. Instances then all choose the same replica.
+	// Random must be set, except for FreshnessDistance: without Random it orders
+	// equal replicas by id, and all instances then choose the same replica.
 	Random   *rand.Rand
 	Strategy Strategy
 }
 
-// outstanding returns the number of requests running on a server.
+// outstanding returns the number of outstanding requests on a server.
 func (c ReplicaSelection) outstanding(server fleet.ServerID) int {
 	for _, load := range c.Loads {
 		if load.Server == server {
@@ -61,12 +64,12 @@
 }
 
 // ReadCandidates returns the servers that may serve a read at the time now, in
-// the order in which to try them. Servers that do not answer and replicas that
-// are not targets by placement are excluded. The primary comes last if it qualifies. The result is empty if
-// no server is known to see enough.
+// the order in which to try them. Unreachable servers and replicas that are not
+// eligible by placement are excluded. The primary comes last if it qualifies.
+// The result is empty if no server is known to be fresh enough.
 func ReadCandidates(now time.Time, view View, need ReadRequirement, choice ReplicaSelection) []fleet.ServerID {
 	seen := TruncateToForkPoint(view, need.Seen)
-	var buffer [usualServers]*ServerView
+	var buffer [commonGroupSize]*ServerView
 	replicas := buffer[:0]
 	primary := false
 	for i := range view.Servers {
@@ -74,7 +77,7 @@
 		if !server.Reachable() {
 			continue
 		}
-		if !fresh(&view, server, need.Written, seen) || !youngEnough(now, &view, server, need) {
+		if !isFresh(&view, server, need.Written, seen) || !meetsMaxAge(now, &view, server, need) {
 			continue
 		}
 		if server.Server == view.Primary {
@@ -94,8 +97,8 @@
 	return ids
 }
 
-func youngEnough(now time.Time, view *View, server *ServerView, need ReadRequirement) bool {
-	return need.MaxAge <= 0 || coversAge(view, server, now.Add(-need.MaxAge))
+func meetsMaxAge(now time.Time, view *View, server *ServerView, need ReadRequirement) bool {
+	return need.MaxAge <= 0 || hasAppliedSince(view, server, now.Add(-need.MaxAge))
 }
 
 // sort orders replicas by the strategy.
@@ -119,13 +122,14 @@
 	return cmp.Compare(c.outstanding(a.Server), c.outstanding(b.Server))
 }
 
-// compareDistance prefers the own data centre, then the clearly shorter round trip.
+// compareDistance orders servers in this instance's data centre first, then by
+// round-trip time in buckets of roundTripBucket.
 func (c ReplicaSelection) compareDistance(a, b *ServerView) int {
-	if local := c.Placement.isLocal(a.Member); local != c.Placement.isLocal(b.Member) {
-		if local {
+	if aIsLocal := c.Placement.isLocal(a.Member); aIsLocal != c.Placement.isLocal(b.Member) {
+		if aIsLocal {
 			return -1
 		}
 		return 1
 	}
-	return cmp.Compare(a.RoundTrip/distanceStep, b.RoundTrip/distanceStep)
+	return cmp.Compare(a.RoundTrip/roundTripBucket, b.RoundTrip/roundTripBucket)
 }
--- a/group/view.go
+++ b/group/view.go
@@ -9,38 +9,42 @@
 )
 
 const (
-	// keptReceipts is the number of terms for which a server's receipts are
-	// kept. An answer can wait over at most a few changes of term, because
-	// CommitBound ends it.
-	keptReceipts = 4
-	// keptSamples bounds the memory of a view.
-	keptSamples = 64
-	// sampleSpacing keeps a burst of barriers from pushing older samples out.
-	sampleSpacing = 100 * time.Millisecond
-	// unreachableFailures is the number of failures in a row from which a server
-	// is not used for routing. One lost poll is not enough.
+	// maxReceipts is the number of terms for which a server's receipts are
+	// kept. Few are needed: a request waits for its commit over at most a few
+	// changes of term, because the CommitBound setting ends the wait.
+	maxReceipts = 4
+	// maxConfirmedPositions limits the memory that a view uses.
+	maxConfirmedPositions = 64
+	// minConfirmedSpacing is the minimum time between the rounds of a new
+	// confirmed position and the last but one; otherwise the new one replaces
+	// the last one. It keeps a burst of barrier requests from evicting all
+	// older positions.
+	minConfirmedSpacing = 100 * time.Millisecond
+	// unreachableFailures is the number of consecutive failures after which a
+	// server is not used for routing. One lost poll is not enough.
 	unreachableFailures = 2
-	// roundTripWeight is the weight of the old average in RoundTrip.
+	// roundTripWeight is the weight of the previous average in RoundTrip; the
+	// weight of the new measurement is 1.
 	roundTripWeight = 7
 )
 
-// Member is the configuration of one server of a group.
+// Member identifies one server of a group and its data centre.
 type Member struct {
 	DataCentre fleet.DataCentre
 	Server     fleet.ServerID
 }
 
-// Observation is one answer of a server.
+// Observation is one response of a server to a control call.
 type Observation struct {
-	// Answered is the time at which the answer arrived.
+	// RespondedAt is the time at which the response arrived.
 	RespondedAt time.Time
-	// Asked is the time before the request was sent.
+	// RequestedAt is a time just before the request was sent.
 	RequestedAt time.Time
 	Server      fleet.ServerID
 	Status      ServerStatus
 }
 
-// Receipt says that a server received the log of a term up to a position
+// Receipt records that a server received the log of a term up to a position
 // while it had promised no later term.
 type Receipt struct {
 	// History is the history of the log at that time. It ends in Position.Term.
@@ -48,57 +52,64 @@
 	Position fleet.Position
 }
 
-// ConfirmedPosition is a position of the primary that was confirmed by a majority.
+// ConfirmedPosition is the end of the primary's log as read in a round of status
+// requests in which a majority of servers had promised no later term.
 type ConfirmedPosition struct {
-	// Begun is the time before the earliest request of the round was sent.
+	// RoundStart is a time just before the earliest request of the round was sent.
 	RoundStart time.Time
-	// Position contains every write that was acknowledged before Begun.
+	// Position covers every write that was acknowledged before RoundStart.
 	Position fleet.Position
 }
 
-// ServerView is what an instance knows of one server.
+// ServerView is what an instance knows about one server.
 type ServerView struct {
 	Member
-	// Answered is the time at which Status arrived. It is zero before the
-	// first answer.
+	// RespondedAt is the time at which Status arrived. It is zero before the
+	// first response.
 	RespondedAt time.Time
-	// Asked is the time before the request for Status was sent.
+	// RequestedAt is a time just before the request for Status was sent.
 	RequestedAt time.Time
-	// FailingSince is the time before the first request that failed since the
-	// last answer. It is zero if none failed.
+	// FailingSince is the send time of the first request that failed since the
+	// last response. It is zero if none failed.
 	FailingSince time.Time
-	// Failures is the number of requests that failed since the last answer.
+	// Failures is the number of requests that failed since the last response.
+	// A failed session connection counts as unreachableFailures.
 	Failures int
-	// Receipts lists what the server received, in rising order of terms.
+	// Receipts holds the server's receipts, one for each term, in ascending
+	// order of terms.
 	Receipts []Receipt
-	// RoundTrip is the moving average of the time to an answer.
+	// RoundTrip is the moving average of the time from request to response.
 	RoundTrip time.Duration
 	Status    ServerStatus
 }
 
-// Heard reports whether the server answered a request that began at or after since.
+// RespondedSince reports whether the server responded to a request that was
+// sent at or after since.
 func (s ServerView) RespondedSince(since time.Time) bool {
 	return !s.RespondedAt.IsZero() && !s.RequestedAt.Before(since)
 }
 
-// Reachable reports whether recent requests to the server succeeded.
+// Reachable reports whether fewer than unreachableFailures requests to the
+// server failed since its last response.
 func (s ServerView) Reachable() bool {
 	return s.Failures < unreachableFailures
 }
 
-// fail notes a number of failures of a request, unless a later one was answered.
-func (s *ServerView) fail(asked time.Time, failures int) {
-	if asked.Before(s.RequestedAt) {
+// recordFailures adds a number of failures for a request, unless the server
+// responded to a later request.
+func (s *ServerView) recordFailures(requestedAt time.Time, failures int) {
+	if requestedAt.Before(s.RequestedAt) {
 		return
 	}
 	s.Failures += failures
-	if s.FailingSince.IsZero() || asked.Before(s.FailingSince) {
-		s.FailingSince = asked
+	if s.FailingSince.IsZero() || requestedAt.Before(s.FailingSince) {
+		s.FailingSince = requestedAt
 	}
 }
 
-// received reports whether the server holds a receipt for the position.
-func (s ServerView) received(p fleet.Position) bool {
+// hasReceipt reports whether the server is known to have received the position
+// in the position's term.
+func (s ServerView) hasReceipt(p fleet.Position) bool {
 	for _, receipt := range s.Receipts {
 		if receipt.Position.Term == p.Term && receipt.Position.Log >= p.Log {
 			return true
@@ -107,29 +118,31 @@
 	return false
 }
 
-// View is what an instance knows of a group. Views are immutable: the methods
-// that add knowledge return a new view.
+// View is what an instance knows about a group. Views are immutable: the methods
+// that add information return a new view.
 type View struct {
 	// Established reports whether Term is established.
 	Established bool
 	Group       fleet.GroupID
 	// History is the history of Term.
 	History fleet.History
-	// Primary leads Term. It is empty when no server is known that can
-	// gather a majority for its term.
+	// Primary is the primary of Term. It is empty if no primary is known that
+	// could still get its writes received by a majority in its term.
 	Primary fleet.ServerID
-	// Samples lists confirmed positions of the primary, oldest first.
+	// ConfirmedPositions lists positions of the primary that a majority
+	// confirmed, oldest first.
 	ConfirmedPositions []ConfirmedPosition
-	// Servers holds one entry for each configured server, ordered by id.
+	// Servers holds one entry for each configured server, ordered by ID.
 	Servers []ServerView
-	// Settled is the history of the newest established term. All later
-	// established histories extend it.
+	// EstablishedHistory is the history of the newest established term. The
+	// histories of all later established terms extend it.
 	EstablishedHistory fleet.History
-	// Term is the newest term for which a primary or an established log is known.
+	// Term is the newest term that is known to have a primary or to be
+	// established.
 	Term fleet.Term
 }
 
-// NewView returns the view of a group of which nothing is known but its members.
+// NewView returns the view of a group whose servers have not responded yet.
 func NewView(group fleet.GroupID, members []Member) View {
 	view := View{Group: group}
 	for _, member := range members {
@@ -139,19 +152,20 @@
 	return view
 }
 
-// Fail returns the view after a request to a server failed.
-func (v View) RecordFailure(server fleet.ServerID, asked time.Time) View {
-	return v.change(server, func(s *ServerView) { s.fail(asked, 1) })
+// RecordFailure returns the view after a control call to a server failed.
+func (v View) RecordFailure(server fleet.ServerID, requestedAt time.Time) View {
+	return v.updateServer(server, func(s *ServerView) { s.recordFailures(requestedAt, 1) })
 }
 
-// Refuse returns the view after a connection to a server failed. The server is
-// not used for routing until it answers a request that began later.
+// MarkUnreachable returns the view after a connection to a server failed. The
+// server is not used for routing until it responds to a request that was sent
+// later.
 func (v View) MarkUnreachable(server fleet.ServerID, now time.Time) View {
-	return v.change(server, func(s *ServerView) { s.fail(now, unreachableFailures) })
+	return v.updateServer(server, func(s *ServerView) { s.recordFailures(now, unreachableFailures) })
 }
 
-// Heard returns the number of servers that answered a request that began at
-// or after since.
+// RespondedSince returns the number of servers that responded to a request that
+// was sent at or after since.
 func (v View) RespondedSince(since time.Time) int {
 	n := 0
 	for _, server := range v.Servers {
@@ -162,44 +176,46 @@
 	return n
 }
 
-// Majority returns the smallest number of servers that is a majority.
+// Majority returns the number of servers that form a majority.
 func (v View) Majority() int {
 	return len(v.Servers)/2 + 1
 }
 
-// Observe returns the view after an answer of a server. An answer to a request
-// that began before the one already known adds its receipt only.
+// Observe returns the view after a response of a server. If the server already
+// responded to a later request, only the receipt of the response is added.
 func (v View) Observe(o Observation) View {
-	return v.change(o.Server, func(s *ServerView) {
+	return v.updateServer(o.Server, func(s *ServerView) {
 		s.Receipts = addReceipt(s.Receipts, receiptOf(o.Status))
 		if !s.RespondedAt.IsZero() && o.RequestedAt.Before(s.RequestedAt) {
 			return
 		}
-		took := o.RespondedAt.Sub(o.RequestedAt)
+		roundTrip := o.RespondedAt.Sub(o.RequestedAt)
 		if s.RespondedAt.IsZero() {
-			s.RoundTrip = took
+			s.RoundTrip = roundTrip
 		}
-		s.RoundTrip = (s.RoundTrip*roundTripWeight + took) / (roundTripWeight + 1)
+		s.RoundTrip = (s.RoundTrip*roundTripWeight + roundTrip) / (roundTripWeight + 1)
 		s.RespondedAt, s.RequestedAt, s.Status = o.RespondedAt, o.RequestedAt, o.Status
 		s.Failures, s.FailingSince = 0, time.Time{}
 	})
 }
 
-// ObserveApplied returns the view after a server reported on a session that
-// reads see the position. A report of another term than the one the server is
-// known to follow is ignored, because its log may have been cut back since.
+// ObserveApplied returns the view after a server reported the position that it
+// has applied over a session connection. The report is ignored if its term is
+// not the one that the server is known to follow, because the server's log may
+// have been truncated since.
 func (v View) ObserveApplied(server fleet.ServerID, applied fleet.Position) View {
-	if !v.advances(server, applied) {
+	if !v.advancesApplied(server, applied) {
 		return v
 	}
-	return v.change(server, func(s *ServerView) {
+	return v.updateServer(server, func(s *ServerView) {
 		s.Status.Applied = applied
 		s.Status.Log.Log = max(s.Status.Log.Log, applied.Log)
 	})
 }
 
-// advances reports whether a report on a session says more than is known.
-func (v View) advances(server fleet.ServerID, applied fleet.Position) bool {
+// advancesApplied reports whether the position that a server reported over a
+// session connection is ahead of its known applied position in the same term.
+func (v View) advancesApplied(server fleet.ServerID, applied fleet.Position) bool {
 	i := v.index(server)
 	if i < 0 {
 		return false
@@ -209,18 +225,19 @@
 }
 
 // ObserveWrite returns the view after the primary of the position's term
-// answered that it wrote an entry there. The answer is the primary's receipt.
+// reported a write at the position. The report counts as the primary's receipt.
 func (v View) ObserveWrite(p fleet.Position) View {
 	if v.Primary == "" || v.Term != p.Term {
 		return v
 	}
-	return v.change(v.Primary, func(s *ServerView) {
+	return v.updateServer(v.Primary, func(s *ServerView) {
 		s.Receipts = addReceipt(s.Receipts, Receipt{History: v.History, Position: p})
 	})
 }
 
 // PrimaryAt returns the server to send writes to and its term. It reports false
-// when none is known, it does not answer, or its last status is older than maxAge.
+// if no primary is known, if it is unreachable, or if its last status is older
+// than maxAge.
 func (v View) PrimaryAt(now time.Time, maxAge time.Duration) (fleet.ServerID, fleet.Term, bool) {
 	primary, found := v.Server(v.Primary)
 	if !found || !primary.Reachable() || !primary.RespondedSince(now.Add(-maxAge)) {
@@ -229,7 +246,8 @@
 	return v.Primary, v.Term, true
 }
 
-// Promised returns the highest term that any server is known to have promised.
+// HighestPromisedTerm returns the highest term that is known to be in use or
+// promised by any server.
 func (v View) HighestPromisedTerm() fleet.Term {
 	term := v.Term
 	for _, server := range v.Servers {
@@ -238,7 +256,7 @@
 	return term
 }
 
-// Server returns what is known of one server.
+// Server returns what is known about one server.
 func (v View) Server(id fleet.ServerID) (ServerView, bool) {
 	i := v.index(id)
 	if i < 0 {
@@ -251,22 +269,24 @@
 	return slices.IndexFunc(v.Servers, func(s ServerView) bool { return s.Server == id })
 }
 
-// change applies a change to a copy of one server and derives the rest.
-func (v View) change(id fleet.ServerID, apply func(*ServerView)) View {
+// updateServer applies a change to a copy of one server's entry and updates the
+// fields of the view that derive from the servers.
+func (v View) updateServer(id fleet.ServerID, apply func(*ServerView)) View {
 	i := v.index(id)
 	if i < 0 {
 		return v
 	}
 	v.Servers = slices.Clone(v.Servers)
 	apply(&v.Servers[i])
-	v.settle()
-	v.lead()
-	v.sample()
+	v.updateEstablishedHistory()
+	v.updatePrimary()
+	v.updateConfirmedPositions()
 	return v
 }
 
-// lead derives the primary, its term and history.
-func (v *View) lead() {
+// updatePrimary derives the primary, its term and its history. No primary is
+// known once a majority of servers promised a later term.
+func (v *View) updatePrimary() {
 	v.Primary = ""
 	for _, server := range v.Servers {
 		status := server.Status
@@ -275,51 +295,53 @@
 		}
 		v.Primary, v.Term, v.History = server.Server, status.Term, status.History
 	}
-	moved := 0
+	promisedLater := 0
 	for _, server := range v.Servers {
 		if server.Status.PromisedTerm > v.Term {
-			moved++
+			promisedLater++
 		}
 	}
-	if moved >= v.Majority() {
+	if promisedLater >= v.Majority() {
 		v.Primary = ""
 	}
 	v.Established = v.Term > 0 && v.EstablishedHistory.LastTerm() == v.Term
 }
 
-// sample derives a confirmed sample: the primary and enough others promised
-// the primary's term in answers to requests that began at or after Begun.
-func (v *View) sample() {
+// updateConfirmedPositions adds the end of the primary's log as a confirmed
+// position if the primary and enough other servers to form a majority have
+// promised the primary's term and none later. The round starts with the earliest
+// request among the latest responses that form the majority.
+func (v *View) updateConfirmedPositions() {
 	primary, found := v.Server(v.Primary)
 	if !found {
 		return
 	}
-	var asked []time.Time
+	var requestTimes []time.Time
 	for _, server := range v.Servers {
 		if server.Server != v.Primary && !server.RespondedAt.IsZero() && server.Status.PromisedTerm == v.Term {
-			asked = append(asked, server.RequestedAt)
+			requestTimes = append(requestTimes, server.RequestedAt)
 		}
 	}
-	others := v.Majority() - 1
-	if len(asked) < others {
+	othersNeeded := v.Majority() - 1
+	if len(requestTimes) < othersNeeded {
 		return
 	}
-	begun := primary.RequestedAt
-	if others > 0 {
-		slices.SortFunc(asked, func(a, b time.Time) int { return b.Compare(a) })
-		if asked[others-1].Before(begun) {
-			begun = asked[others-1]
+	roundStart := primary.RequestedAt
+	if othersNeeded > 0 {
+		slices.SortFunc(requestTimes, func(a, b time.Time) int { return b.Compare(a) })
+		if requestTimes[othersNeeded-1].Before(roundStart) {
+			roundStart = requestTimes[othersNeeded-1]
 		}
 	}
-	v.ConfirmedPositions = addSample(v.ConfirmedPositions, ConfirmedPosition{RoundStart: begun, Position: primary.Status.Log})
+	v.ConfirmedPositions = addConfirmedPosition(v.ConfirmedPositions, ConfirmedPosition{RoundStart: roundStart, Position: primary.Status.Log})
 }
 
-// settle derives the history of the newest established term.
-func (v *View) settle() {
+// updateEstablishedHistory derives the history of the newest established term.
+func (v *View) updateEstablishedHistory() {
 	for _, server := range v.Servers {
 		for _, receipt := range server.Receipts {
 			term := receipt.Position.Term
-			if term > v.EstablishedHistory.LastTerm() && establishedTerm(*v, term) {
+			if term > v.EstablishedHistory.LastTerm() && isTermEstablished(*v, term) {
 				v.EstablishedHistory = receipt.History
 			}
 		}
@@ -329,7 +351,8 @@
 	}
 }
 
-// addReceipt returns the receipts with one more.
+// addReceipt returns the receipts with one added. Of each term only the receipt
+// with the highest position is kept, and only the newest maxReceipts terms.
 func addReceipt(receipts []Receipt, add Receipt) []Receipt {
 	if add.Position.Term == 0 {
 		return receipts
@@ -346,26 +369,28 @@
 		return receipts
 	}
 	receipts = slices.Insert(receipts, i, add)
-	return receipts[max(0, len(receipts)-keptReceipts):]
+	return receipts[max(0, len(receipts)-maxReceipts):]
 }
 
-// addSample returns the samples with one more. A sample that begins close to
-// the last but one replaces the last one.
-func addSample(samples []ConfirmedPosition, add ConfirmedPosition) []ConfirmedPosition {
-	n := len(samples)
-	if n > 0 && !add.RoundStart.After(samples[n-1].RoundStart) {
-		return samples
+// addConfirmedPosition returns the positions with one added. If its round started
+// less than minConfirmedSpacing after that of the last but one, it replaces the
+// last one.
+func addConfirmedPosition(positions []ConfirmedPosition, add ConfirmedPosition) []ConfirmedPosition {
+	n := len(positions)
+	if n > 0 && !add.RoundStart.After(positions[n-1].RoundStart) {
+		return positions
 	}
-	if n > 1 && add.RoundStart.Sub(samples[n-2].RoundStart) < sampleSpacing {
+	if n > 1 && add.RoundStart.Sub(positions[n-2].RoundStart) < minConfirmedSpacing {
 		n--
 	}
-	first := max(0, n+1-keptSamples)
-	return append(slices.Clone(samples[first:n]), add)
+	first := max(0, n+1-maxConfirmedPositions)
+	return append(slices.Clone(positions[first:n]), add)
 }
 
-// receiptOf returns the receipt that a status shows. A server that promised a
-// later term may have received the entries from a later primary that can
-// still be superseded by another log, so its status is no receipt.
+// receiptOf returns the receipt that follows from a status, or none. A server
+// that promised a later term than that of its log may have received the entries
+// from a later primary whose log can still be replaced by another one, so its
+// status is no receipt.
 func receiptOf(status ServerStatus) Receipt {
 	if status.Log.Term == 0 || status.PromisedTerm > status.Log.Term || status.History.LastTerm() != status.Log.Term {
 		return Receipt{}
