--- a/cmd/gatewayd/servecmd.go
+++ b/cmd/gatewayd/servecmd.go
@@ -198,7 +198,7 @@
 	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConnections}
 	client := &http.Client{Transport: transport}
 	var running *gateway.Gateway
-	servers := platform.NewDialer(bootTime, func(server fleet.ServerID) bool { return running.ReportSilence(server) })
+	servers := platform.NewDialer(bootTime, func(server fleet.ServerID) bool { return running.ReportUnresponsive(server) })
 	config := gateway.Config{
 		Clock:    bootTime,
 		Control:  platform.NewControl(),
@@ -216,8 +216,8 @@
 		return running, nil
 	}
 	endpoint := datagram.New(peers)
-	config.Peers = endpoint
-	config.Relays = relay.NewClient(&http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConnections}})
+	config.PeerTransport = endpoint
+	config.RelayClient = relay.NewClient(&http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConnections}})
 	running = gateway.New(config)
 	return running, relay.NewServer(endpoint.Secret(), running)
 }
--- a/datagram/datagram.go
+++ b/datagram/datagram.go
@@ -95,7 +95,7 @@
 // Ask sends a request to the endpoint at an address, with the secret of that
 // endpoint, and returns the answer. The request is sent again until it is
 // answered or the context ends.
-func (e *Endpoint) Ask(ctx context.Context, address string, secret, content []byte) ([]byte, error) {
+func (e *Endpoint) Call(ctx context.Context, address string, secret, content []byte) ([]byte, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, &Error{Err: err, Kind: KindInvalid, Op: "ask"}
--- a/datagram/datagram_test.go
+++ b/datagram/datagram_test.go
@@ -54,7 +54,7 @@
 	results := make(chan error, 20)
 	for i := range cap(results) {
 		go func() {
-			got, err := client.Ask(ctx, server.Address(), server.Secret(), []byte(strconv.Itoa(i)))
+			got, err := client.Call(ctx, server.Address(), server.Secret(), []byte(strconv.Itoa(i)))
 			if err == nil {
 				if diff := cmp.Diff("to "+strconv.Itoa(i), string(got)); diff != "" {
 					err = errors.New(diff)
@@ -85,11 +85,11 @@
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	if _, err := client.Ask(ctx, server.Address(), server.Secret(), []byte("q")); err != nil {
+	if _, err := client.Call(ctx, server.Address(), server.Secret(), []byte("q")); err != nil {
 		t.Fatal(err)
 	}
 	// Copies of the first request were queued before this one.
-	if _, err := client.Ask(ctx, server.Address(), server.Secret(), []byte("last")); err != nil {
+	if _, err := client.Call(ctx, server.Address(), server.Secret(), []byte("last")); err != nil {
 		t.Fatal(err)
 	}
 	if got := answers.Load(); got != 2 {
@@ -110,7 +110,7 @@
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	_, err := client.Ask(ctx, server.Address(), client.Secret(), []byte("q"))
+	_, err := client.Call(ctx, server.Address(), client.Secret(), []byte("q"))
 	var failure *datagram.Error
 	if !errors.As(err, &failure) || failure.Kind != datagram.KindUnreachable {
 		t.Errorf("error %v, want kind Unreachable", err)
@@ -133,7 +133,7 @@
 		{name: "length", address: e.Address(), content: make([]byte, 2000)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := e.Ask(t.Context(), test.address, e.Secret(), test.content)
+			_, err := e.Call(t.Context(), test.address, e.Secret(), test.content)
 			var failure *datagram.Error
 			if !errors.As(err, &failure) || failure.Kind != datagram.KindInvalid {
 				t.Errorf("error %v, want kind Invalid", err)
@@ -159,7 +159,7 @@
 		_, _ = conn.Write(message)
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
-		if _, err := client.Ask(ctx, server.Address(), server.Secret(), []byte("q")); err != nil {
+		if _, err := client.Call(ctx, server.Address(), server.Secret(), []byte("q")); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -110,14 +110,14 @@
 		g.servers[id] = known
 		delete(g.health, id)
 	}
-	if server.Leaving && !known.Leaving {
+	if server.Draining && !known.Draining {
 		known.leavingSince = now
 	}
 	known.missingSince = time.Time{}
 	known.BackendServer = server
-	known.coldUntil = now.Add(server.ColdFor)
+	known.coldUntil = now.Add(server.ColdRemaining)
 	known.coldSpent = nil
-	if rate := g.coldRate(server.Group); rate > 0 && server.ColdFor > 0 {
+	if rate := g.coldRate(server.Group); rate > 0 && server.ColdRemaining > 0 {
 		known.coldSpent = &coldBucket{counted: now, rate: rate / float64(g.members.liveCount())}
 	}
 }
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -74,12 +74,12 @@
 }
 
 // runGateway runs an instance named i until the test ends.
-func runGateway(t *testing.T, store gateway.Store, clock session.Clock, relays gateway.Relays) {
+func runGateway(t *testing.T, store gateway.Store, clock session.Clock, relays gateway.RelayClient) {
 	t.Helper()
 	recorder := event.New("i", 1, time.Now, event.NewLogger(io.Discard, "json", event.LevelError), 16)
 	g := gateway.New(gateway.Config{
 		Clock: clock, Epoch: 8, Instance: "i", Log: gateway.NewLog(recorder, 1),
-		Relays: relays, Settings: gateway.Settings{KeyLease: time.Second}, Source: source{}, Store: store,
+		RelayClient: relays, Settings: gateway.Settings{KeyLease: time.Second}, Source: source{}, Store: store,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/gateway/follower.go
+++ b/gateway/follower.go
@@ -59,7 +59,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.followers[table] = f
-	f.relayed = g.config.Relays != nil
+	f.relayed = g.config.RelayClient != nil
 	return f
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -79,14 +79,14 @@
 	Address string
 	// Born tells the runs of one server apart.
 	Born int64
-	// ColdFor is how much longer the server stays slow after its start.
-	ColdFor    time.Duration
-	DataCentre fleet.DataCentre
-	Group      fleet.GroupID
-	ID         fleet.ServerID
-	Leaving    bool
-	Primary    bool
-	Slots      int
+	// ColdRemaining is how much longer the server stays slow after its start.
+	ColdRemaining time.Duration
+	DataCentre    fleet.DataCentre
+	Group         fleet.GroupID
+	ID            fleet.ServerID
+	Draining      bool
+	Primary       bool
+	Slots         int
 }
 
 // Source decodes what operators and backend servers write to the store.
@@ -131,16 +131,16 @@
 	Epoch    fleet.Epoch
 	Instance fleet.InstanceID
 	Log      *Log
-	// Peers reaches the other instances. Without it, the pools of the limits
+	// PeerTransport reaches the other instances. Without it, the pools of the limits
 	// that lie on other instances are not used.
-	Peers    Peers
-	Promoter Promoter
-	// Relays reaches the other instances for what they have read from the
+	PeerTransport PeerTransport
+	Promoter      Promoter
+	// RelayClient reaches the other instances for what they have read from the
 	// store. Without it, each instance reads for itself.
-	Relays   Relays
-	Settings Settings
-	Source   Source
-	Store    Store
+	RelayClient RelayClient
+	Settings    Settings
+	Source      Source
+	Store       Store
 }
 
 // Gateway is one instance. Its controllers share the fields below; each says
--- a/gateway/health.go
+++ b/gateway/health.go
@@ -127,9 +127,9 @@
 	return health.unreachable != before, health.unreachable
 }
 
-// ReportSilence notes that a server has not answered a request for a while,
+// ReportUnresponsive notes that a server has not answered a request for a while,
 // and reports whether it counts as unreachable.
-func (g *Gateway) ReportSilence(server fleet.ServerID) bool {
+func (g *Gateway) ReportUnresponsive(server fleet.ServerID) bool {
 	g.reportFailure(server)
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -393,8 +393,8 @@
 	g.members.beat++
 	g.members.since = g.ownSince(now)
 	row := MemberRow{At: g.storeClock.StoreTime(now), Beat: g.members.beat, DataCentre: g.config.Settings.DataCentre, Demand: math.Round(g.limits.TotalDemand(now)), Epoch: g.members.epoch, Phase: phase, Since: g.members.since}
-	if g.config.Peers != nil {
-		row.Address, row.Secret = g.config.Peers.Address(), g.config.Peers.Secret()
+	if g.config.PeerTransport != nil {
+		row.Address, row.Secret = g.config.PeerTransport.Address(), g.config.PeerTransport.Secret()
 	}
 	for id, generation := range g.members.left {
 		row.Left = append(row.Left, GroupLeft{Generation: generation, Group: id})
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -26,47 +26,47 @@
 	lendSilent = 500 * time.Millisecond
 )
 
-// Peers carries questions between instances.
-type Peers interface {
+// PeerTransport carries questions between instances.
+type PeerTransport interface {
 	// Address is where this instance answers.
 	Address() string
 	// Ask returns the answer of the instance at an address. The secret is that
 	// of the instance. The question may arrive more than once, and is answered
 	// once.
-	Ask(ctx context.Context, address string, secret, question []byte) ([]byte, error)
+	Call(ctx context.Context, address string, secret, question []byte) ([]byte, error)
 	// Secret proves that a question comes from a reader of this instance's row.
 	Secret() []byte
 	// Serve answers questions until the context ends.
 	Serve(ctx context.Context, answer func(question []byte) []byte) error
 }
 
-// Question is what one instance asks another.
-type Question struct {
+// PeerRequest is what one instance asks another.
+type PeerRequest struct {
 	// Look tells the leader that the asker's row says something about a primary.
-	Look bool          `json:",omitempty"`
-	Take *TakeQuestion `json:",omitempty"`
+	Look bool         `json:",omitempty"`
+	Take *TakeRequest `json:",omitempty"`
 }
 
-// TakeQuestion asks the owner of a pool for requests of a workspace.
-type TakeQuestion struct {
+// TakeRequest asks the owner of a pool for requests of a workspace.
+type TakeRequest struct {
 	Want      float64
 	Workspace fleet.WorkspaceID
 }
 
-// Answer is the answer to a question: for one that takes, what the owner gives.
+// PeerResponse is the answer to a question: for one that takes, what the owner gives.
 // RetryAfter is set if it has nothing left.
-type Answer struct {
+type PeerResponse struct {
 	RetryAfter time.Duration `json:",omitempty"`
 	Taken      float64
 }
 
 // servePeers answers the questions of other instances.
 func (g *Gateway) servePeers(ctx context.Context) error {
-	if g.config.Peers == nil {
+	if g.config.PeerTransport == nil {
 		return nil
 	}
-	return g.config.Peers.Serve(ctx, func(content []byte) []byte {
-		var question Question
+	return g.config.PeerTransport.Serve(ctx, func(content []byte) []byte {
+		var question PeerRequest
 		if err := json.Unmarshal(content, &question); err != nil {
 			g.config.Log.Record(event.EntryRefused, event.Fields{Text: "question of an instance: " + err.Error()})
 			return nil
@@ -80,8 +80,8 @@
 	})
 }
 
-func (g *Gateway) answer(question Question) Answer {
-	var answer Answer
+func (g *Gateway) answer(question PeerRequest) PeerResponse {
+	var answer PeerResponse
 	if question.Look {
 		select {
 		case g.lookNow <- struct{}{}:
@@ -103,7 +103,7 @@
 	if leader == g.config.Instance {
 		return
 	}
-	if _, err := g.ask(leader, Question{Look: true}); err != nil {
+	if _, err := g.ask(leader, PeerRequest{Look: true}); err != nil {
 		g.config.Log.Record(event.PeerSilent, event.Fields{Text: "leader " + string(leader) + ": " + err.Error()})
 	}
 }
@@ -120,7 +120,7 @@
 			retryAfter, reason = nearer(i, retryAfter, wait), "its pools were empty or silent a moment ago"
 			continue
 		}
-		answer, err := g.takeFrom(owner.Instance, TakeQuestion{Want: want, Workspace: id})
+		answer, err := g.takeFrom(owner.Instance, TakeRequest{Want: want, Workspace: id})
 		now = g.config.Clock()
 		if err != nil {
 			g.limits.SkipOwner(id, owner.Instance, now.Add(lendSilent))
@@ -147,8 +147,8 @@
 }
 
 // takeFrom asks an owner, which may be this instance.
-func (g *Gateway) takeFrom(owner fleet.InstanceID, take TakeQuestion) (Answer, error) {
-	question := Question{Take: &take}
+func (g *Gateway) takeFrom(owner fleet.InstanceID, take TakeRequest) (PeerResponse, error) {
+	question := PeerRequest{Take: &take}
 	if owner == g.config.Instance {
 		return g.answer(question), nil
 	}
@@ -156,28 +156,28 @@
 }
 
 // ask asks another instance.
-func (g *Gateway) ask(instance fleet.InstanceID, question Question) (Answer, error) {
+func (g *Gateway) ask(instance fleet.InstanceID, question PeerRequest) (PeerResponse, error) {
 	g.mu.Lock()
 	m := g.members.members[instance]
 	g.mu.Unlock()
-	if m == nil || m.row.Address == "" || g.config.Peers == nil {
-		return Answer{}, &Error{Err: errors.New("its address is not known"), Kind: KindNotDone, Op: "ask"}
+	if m == nil || m.row.Address == "" || g.config.PeerTransport == nil {
+		return PeerResponse{}, &Error{Err: errors.New("its address is not known"), Kind: KindNotDone, Op: "ask"}
 	}
 	content, err := json.Marshal(question)
 	if err != nil {
-		return Answer{}, &Error{Err: err, Kind: KindInvalid, Op: "ask"}
+		return PeerResponse{}, &Error{Err: err, Kind: KindInvalid, Op: "ask"}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), askBound)
 	defer cancel()
-	encoded, err := g.config.Peers.Ask(ctx, m.row.Address, m.row.Secret, content)
-	var answer Answer
+	encoded, err := g.config.PeerTransport.Call(ctx, m.row.Address, m.row.Secret, content)
+	var answer PeerResponse
 	if err == nil {
 		err = json.Unmarshal(encoded, &answer)
 	}
 	countPeerCall(err)
 	if err != nil {
 		// What was given is lost.
-		return Answer{}, &Error{Err: err, Kind: KindUnknown, Op: "ask"}
+		return PeerResponse{}, &Error{Err: err, Kind: KindUnknown, Op: "ask"}
 	}
 	return answer, nil
 }
--- a/gateway/promoter.go
+++ b/gateway/promoter.go
@@ -230,7 +230,7 @@
 		report := state.statuses[id]
 		s.Servers = append(s.Servers, primacy.Server{
 			RegisteredAsPrimary: server.Primary,
-			Eligible:            !server.Leaving && g.routing != nil && g.routing.IsInService(server.DataCentre),
+			Eligible:            !server.Draining && g.routing != nil && g.routing.IsInService(server.DataCentre),
 			ID:                  id,
 			Position:            report.status.Position,
 			Registered:          true,
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -30,8 +30,8 @@
 	relayScope = 4
 )
 
-// Relays asks other instances for what they have read from the store.
-type Relays interface {
+// RelayClient asks other instances for what they have read from the store.
+type RelayClient interface {
 	Changes(ctx context.Context, address string, secret []byte, request relay.Request) (feed.Snapshot, error)
 }
 
@@ -83,7 +83,7 @@
 func (g *Gateway) relay(now time.Time) (peer relayPeer, found bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.config.Relays == nil || g.members.participation.NeedsFreshRead() {
+	if g.config.RelayClient == nil || g.members.participation.NeedsFreshRead() {
 		return relayPeer{}, false
 	}
 	first := g.members.relayOf(g.config.Settings.DataCentre)
@@ -139,7 +139,7 @@
 	}
 	bounded, cancel := f.begin(ctx, bound)
 	defer cancel()
-	snapshot, err := f.gateway.config.Relays.Changes(bounded, peer.address, peer.secret, relay.Request{
+	snapshot, err := f.gateway.config.RelayClient.Changes(bounded, peer.address, peer.secret, relay.Request{
 		After: f.mirror.Revision(), StoreTime: f.mirror.StoreTime(), Table: string(f.table), Wait: wait > 0,
 	})
 	countRelayCall(err)
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -87,7 +87,7 @@
 	if !g.routing.IsInService(server.DataCentre) {
 		return false
 	}
-	return !server.Leaving || now.Sub(server.leavingSince) < leavingUse
+	return !server.Draining || now.Sub(server.leavingSince) < leavingUse
 }
 
 // chooseReplica returns the server for a read that may miss recent commits,
@@ -106,7 +106,7 @@
 	best, bestCost := fleet.ServerID(""), time.Duration(0)
 	for id, candidate := range g.servers {
 		isPrimary := id == record.Primary
-		if candidate.Group != need.Route.Group || need.Avoid[id] || g.isUnreachable(id) || candidate.Leaving ||
+		if candidate.Group != need.Route.Group || need.Avoid[id] || g.isUnreachable(id) || candidate.Draining ||
 			!g.routing.IsInService(candidate.DataCentre) || !candidate.warm(now) || (!isPrimary && now.Before(candidate.lagUntil)) {
 			continue
 		}
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -37,7 +37,7 @@
 	Callers string
 	// Metrics serves counters and histograms; empty means not at all.
 	Metrics string
-	// Peers is where other instances ask this one, over UDP for parts of limits
+	// PeerTransport is where other instances ask this one, over UDP for parts of limits
 	// and over TCP for what it has read from the store; empty means that nobody
 	// is asked.
 	Peers string
