--- a/cmd/script_test.go
+++ b/cmd/script_test.go
@@ -126,7 +126,7 @@
 	for _, name := range []string{"1", "2"} {
 		recorder := event.New(fleet.InstanceID("pier-"+name), 1, func() time.Time { return scriptTime }, event.NewLogger(io.Discard, "json", event.LevelInfo), 100)
 		recorder.Record(event.InstanceServing, event.Fields{})
-		server := httptest.NewServer(operator.New(operator.Parts{
+		server := httptest.NewServer(operator.New(operator.Config{
 			Publisher: store, Recorder: recorder, Sheets: store, Status: store, Timeline: recorder,
 			Tokens: func() []settings.Token { return tokens },
 		}).Handler())
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestDecodePlaces guards against problems at a wrong place: columns count
+// TestDecodePositions guards against problems at a wrong place: columns count
 // characters, not bytes, and secret values are not shown.
-func TestDecodePlaces(t *testing.T) {
+func TestDecodePositions(t *testing.T) {
 	var got sample
 	content := "{/* é */ \"Number\": 10,\n\t\"List\": [{\"Text\": \"not a name\"}, {}], \"Part\": 1,\n\t\"Flag\": null, \"Duration\": 5}"
 	d := document.Decode("f", []byte(content), sampleRules, &got)
--- a/document/rule.go
+++ b/document/rule.go
@@ -23,8 +23,8 @@
 	FormatAny Format = "text"
 	// FormatBase64 is standard base64 with padding.
 	FormatBase64 Format = "base64"
-	// FormatBase64Sum is a SHA-256 sum in standard base64 with padding.
-	FormatBase64Sum Format = "base64 of 32 bytes"
+	// FormatBase64SHA256 is a SHA-256 sum in standard base64 with padding.
+	FormatBase64SHA256 Format = "base64 of 32 bytes"
 	// FormatName is a short name of letters, digits, dot, hyphen and underscore.
 	FormatName Format = "1 to 63 of A-Z a-z 0-9 . _ -, first a letter or digit"
 	// FormatPath is the path of a file.
@@ -105,7 +105,7 @@
 	case FormatBase64:
 		_, err := base64.StdEncoding.DecodeString(text)
 		return err == nil
-	case FormatBase64Sum:
+	case FormatBase64SHA256:
 		sum, err := base64.StdEncoding.DecodeString(text)
 		return err == nil && len(sum) == sha256.Size
 	case FormatName:
--- a/instance/adminapi.go
+++ b/instance/adminapi.go
@@ -15,7 +15,7 @@
 		table:   i.config.Platform,
 		usage:   i.usage,
 	}
-	return operator.New(operator.Parts{
+	return operator.New(operator.Config{
 		Archive:   i.archive,
 		Publisher: published,
 		Recorder:  i.config.Events,
@@ -27,14 +27,14 @@
 }
 
 // usage returns what this instance knows of the deployment.
-func (i *Instance) usage() sheet.Usage {
-	usage := sheet.Usage{
-		Busy:        i.metrics.busy(),
-		DataCentres: []fleet.DataCentre{i.config.Settings.DataCentre},
+func (i *Instance) usage() sheet.Deployment {
+	usage := sheet.Deployment{
+		BusyWorkspaces: i.metrics.busy(),
+		DataCentres:    []fleet.DataCentre{i.config.Settings.DataCentre},
 	}
 	for _, configured := range i.config.Settings.Groups {
 		for _, server := range configured.Servers {
-			usage.Servers = append(usage.Servers, sheet.ServerPlace{
+			usage.Servers = append(usage.Servers, sheet.ServerLocation{
 				DataCentre: server.DataCentre,
 				Group:      configured.Group,
 				Server:     server.Server,
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -33,7 +33,7 @@
 // Platform is what an instance needs of the platform.
 type Platform interface {
 	metastore.InstanceList
-	metastore.Objects
+	metastore.ObjectStore
 	metastore.Table
 }
 
--- a/instance/publisher.go
+++ b/instance/publisher.go
@@ -34,7 +34,7 @@
 	holders holders
 	now     func() time.Time
 	table   metastore.Table
-	usage   func() sheet.Usage
+	usage   func() sheet.Deployment
 }
 
 var (
@@ -45,7 +45,7 @@
 // storedHead is the head row with the newest sheet.
 type storedHead struct {
 	// afterBase is the row of the version after the base of a request.
-	afterBase sheet.ReadBack
+	afterBase sheet.VersionRow
 	head      peer.Head
 	record    sheet.Record
 	revision  metastore.Revision
@@ -152,18 +152,18 @@
 		Current:         stored.sheet,
 		Head:            stored.head.SheetVersion,
 		HeadPublication: stored.record.Publication,
-		Usage:           p.usage(),
+		Deployment:      p.usage(),
 	}
 }
 
 // readBack reads the row of the version after the base of a request, if the
 // head has passed the base.
-func (p *publisher) readBack(ctx context.Context, stored storedHead, base fleet.SheetVersion) (sheet.ReadBack, error) {
+func (p *publisher) readBack(ctx context.Context, stored storedHead, base fleet.SheetVersion) (sheet.VersionRow, error) {
 	if stored.head.SheetVersion <= base {
-		return sheet.ReadBack{}, nil
+		return sheet.VersionRow{}, nil
 	}
 	record, found, err := p.readRecord(ctx, base+1)
-	return sheet.ReadBack{Found: found, Publication: record.Publication}, err
+	return sheet.VersionRow{Found: found, Publication: record.Publication}, err
 }
 
 // write writes a version. A write without an answer is settled by reading the
@@ -196,7 +196,7 @@
 	for {
 		record, found, err := p.readRecord(ctx, version)
 		if err == nil {
-			return sheet.Resolve(publication, sheet.ReadBack{Found: found, Publication: record.Publication}), nil
+			return sheet.Resolve(publication, sheet.VersionRow{Found: found, Publication: record.Publication}), nil
 		}
 		if err := pause(ctx, resolvePause); err != nil {
 			return "", err
--- a/metastore/client.go
+++ b/metastore/client.go
@@ -20,7 +20,7 @@
 
 var (
 	_ InstanceList = &Client{}
-	_ Objects      = &Client{}
+	_ ObjectStore  = &Client{}
 	_ Table        = &Client{}
 )
 
--- a/metastore/metastore.go
+++ b/metastore/metastore.go
@@ -44,8 +44,8 @@
 	Write(ctx context.Context, conditions []Condition, rows []Row) (applied bool, after []Row, err error)
 }
 
-// Objects is the platform's object store.
-type Objects interface {
+// ObjectStore is the platform's object store.
+type ObjectStore interface {
 	// Get returns an object, and whether it exists.
 	Get(ctx context.Context, name string) (content []byte, found bool, err error)
 	// Put stores an object.
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -114,7 +114,7 @@
 		sum := sha256.Sum256([]byte("token-" + role))
 		tokens = append(tokens, settings.Token{Role: role, TokenSHA256: hex.EncodeToString(sum[:])})
 	}
-	server := httptest.NewServer(operator.New(operator.Parts{
+	server := httptest.NewServer(operator.New(operator.Config{
 		Publisher: d.store, Recorder: d.recorder, Sheets: d.store, Status: fixedStatus(exampleStatus), Timeline: d.recorder,
 		Tokens: func() []settings.Token { return tokens },
 	}).Handler())
--- a/operator/server.go
+++ b/operator/server.go
@@ -103,8 +103,8 @@
 	Events(filter event.Filter) []event.Event
 }
 
-// Parts are what a Server needs. All but Archive are required.
-type Parts struct {
+// Config are what a Server needs. All but Archive are required.
+type Config struct {
 	// Archive is nil where no snapshots are kept.
 	Archive   Archive
 	Publisher Publisher
@@ -135,7 +135,7 @@
 )
 
 // New returns the administration API of an instance.
-func New(parts Parts) *Server {
+func New(parts Config) *Server {
 	return &Server{
 		archive:   parts.Archive,
 		publisher: parts.Publisher,
--- a/sheet/parse.go
+++ b/sheet/parse.go
@@ -49,11 +49,11 @@
 		{Path: "Workspaces[].Databases", Required: true},
 		{Path: "Workspaces[].Databases[]", Format: document.FormatName, Required: true},
 		{Path: "Workspaces[].Iterations", Min: minIterations, Max: maxIterations, Default: "4096"},
-		{Path: "Workspaces[].Keys[].Digest", Format: document.FormatBase64Sum, Secret: true},
+		{Path: "Workspaces[].Keys[].Digest", Format: document.FormatBase64SHA256, Secret: true},
 		{Path: "Workspaces[].Keys[].KeyID", Format: document.FormatName, Required: true},
 		{Path: "Workspaces[].Keys[].NotAfter", Format: document.FormatTime},
-		{Path: "Workspaces[].Keys[].ServerKey", Format: document.FormatBase64Sum, Required: true, Secret: true},
-		{Path: "Workspaces[].Keys[].StoredKey", Format: document.FormatBase64Sum, Required: true, Secret: true},
+		{Path: "Workspaces[].Keys[].ServerKey", Format: document.FormatBase64SHA256, Required: true, Secret: true},
+		{Path: "Workspaces[].Keys[].StoredKey", Format: document.FormatBase64SHA256, Required: true, Secret: true},
 		{Path: "Workspaces[].Rate", Min: 0, Max: maxRate, Required: true},
 		{Path: "Workspaces[].Salt", Format: document.FormatBase64, Required: true},
 		{Path: "Workspaces[].Weight", Min: 1, Max: maxWeight, Default: "1"},
@@ -67,7 +67,7 @@
 func Parse(file string, content []byte) (Sheet, error) {
 	var parsed Sheet
 	d := document.Decode(file, content, Rules(), &parsed)
-	for _, fault := range Check(parsed) {
+	for _, fault := range Validate(parsed) {
 		d.Add(fault.Path, fault.Message)
 	}
 	for _, found := range keyPattern.FindAllIndex(content, maxKeyProblems) {
@@ -79,15 +79,15 @@
 	return parsed, nil
 }
 
-// Fault is a contradiction inside a sheet.
-type Fault struct {
+// Violation is a contradiction inside a sheet.
+type Violation struct {
 	Message string
 	// Path is the key path, for example "Workspaces[1].Keys[0].KeyID".
 	Path string
 }
 
-// Check returns the contradictions inside a sheet whose values are each accepted.
-func Check(s Sheet) []Fault {
+// Validate returns the contradictions inside a sheet whose values are each accepted.
+func Validate(s Sheet) []Violation {
 	c := &checker{seen: map[string]bool{}}
 	for i, dataCentre := range s.DataCentres {
 		unique(c, "data centre", dataCentre.DataCentre, fmt.Sprintf("DataCentres[%d].DataCentre", i))
@@ -108,12 +108,12 @@
 }
 
 type checker struct {
-	faults []Fault
+	faults []Violation
 	seen   map[string]bool
 }
 
 func (c *checker) add(path, message string) {
-	c.faults = append(c.faults, Fault{Message: message, Path: path})
+	c.faults = append(c.faults, Violation{Message: message, Path: path})
 }
 
 func (c *checker) checkWorkspace(w Workspace, path string) {
--- a/sheet/publish.go
+++ b/sheet/publish.go
@@ -55,13 +55,13 @@
 	// AfterBase is the row of the version after the request's base. It is
 	// needed when the head has passed the base: a write that seemed lost may
 	// have taken effect before another publication followed.
-	AfterBase ReadBack
+	AfterBase VersionRow
 	Current   Sheet
 	// Head is the version in force.
 	Head fleet.SheetVersion
 	// HeadPublication is the publication that made the head version.
 	HeadPublication PublicationID
-	Usage           Usage
+	Deployment      Deployment
 }
 
 // Decision says whether to write a version.
@@ -98,7 +98,7 @@
 		decision.Outcome = OutcomeConflict
 		return decision
 	}
-	for _, risk := range Unsafe(state.Current, parsed, state.Usage) {
+	for _, risk := range NewRisks(state.Current, parsed, state.Deployment) {
 		decision.Problems = append(decision.Problems, risk.String())
 	}
 	return decideWrite(decision, request)
@@ -134,8 +134,8 @@
 	return []string{err.Error()}
 }
 
-// ReadBack is what the table says about a version whose write had no answer.
-type ReadBack struct {
+// VersionRow is what the table says about a version whose write had no answer.
+type VersionRow struct {
 	// Found is true when the row of the version exists.
 	Found bool
 	// Publication is the publication that wrote the row.
@@ -158,7 +158,7 @@
 )
 
 // Resolve settles a write without an answer from the row of its version.
-func Resolve(publication PublicationID, row ReadBack) Resolution {
+func Resolve(publication PublicationID, row VersionRow) Resolution {
 	switch {
 	case !row.Found:
 		return ResolutionRepeat
--- a/sheet/sheet_test.go
+++ b/sheet/sheet_test.go
@@ -44,8 +44,8 @@
 	content := example(t)
 	current := parse(t, content)
 	stopped := strings.Replace(content, `"Rate": 200`, `"Rate": 0`, 1)
-	usage := sheet.Usage{Busy: []fleet.WorkspaceID{"die-room"}}
-	state := sheet.PublishState{AfterBase: sheet.ReadBack{Found: true, Publication: "p6"}, Current: current, Head: 7, HeadPublication: "p7", Usage: usage}
+	usage := sheet.Deployment{BusyWorkspaces: []fleet.WorkspaceID{"die-room"}}
+	state := sheet.PublishState{AfterBase: sheet.VersionRow{Found: true, Publication: "p6"}, Current: current, Head: 7, HeadPublication: "p7", Deployment: usage}
 	for _, tc := range []struct {
 		name    string
 		request sheet.PublishRequest
@@ -91,7 +91,7 @@
 				state.Head, state.HeadPublication = decision.Version, id
 			}
 			row, found := rows[2]
-			if decision.Outcome == sheet.OutcomeStored || sheet.Resolve(id, sheet.ReadBack{Found: found, Publication: row}) == sheet.ResolutionStored {
+			if decision.Outcome == sheet.OutcomeStored || sheet.Resolve(id, sheet.VersionRow{Found: found, Publication: row}) == sheet.ResolutionStored {
 				stored[id] = true
 			}
 		}
@@ -313,11 +313,11 @@
 	}
 }
 
-// TestUnsafe guards against sheets that stop service and that nobody is asked
+// TestNewRisks guards against sheets that stop service and that nobody is asked
 // about, and against old risks that block a repair.
-func TestUnsafe(t *testing.T) {
+func TestNewRisks(t *testing.T) {
 	content := example(t)
-	usage := sheet.Usage{DataCentres: []fleet.DataCentre{"gt-1"}, Servers: []sheet.ServerPlace{
+	usage := sheet.Deployment{DataCentres: []fleet.DataCentre{"gt-1"}, Servers: []sheet.ServerLocation{
 		{DataCentre: "gt-2", Group: "orders", Server: "orders-1"},
 		{DataCentre: "gt-1", Group: "orders", Server: "orders-2"},
 		{DataCentre: "gt-2", Group: "stock", Server: "stock-1"},
@@ -333,7 +333,7 @@
 		{Kind: sheet.RiskWorkspaceRemoved, Subject: "die-room"},
 		{Kind: sheet.RiskKeysWithdrawn, Subject: "school-supply"},
 	}
-	if diff := gocmp.Diff(want, sheet.Unsafe(parse(t, content), parse(t, worse), usage)); diff != "" {
+	if diff := gocmp.Diff(want, sheet.NewRisks(parse(t, content), parse(t, worse), usage)); diff != "" {
 		t.Errorf("risks (-want +got):\n%s", diff)
 	}
 }
--- a/sheet/unsafe.go
+++ b/sheet/unsafe.go
@@ -57,25 +57,25 @@
 	}
 }
 
-// Usage is what is known of the deployment when a sheet is checked.
-type Usage struct {
+// Deployment is what is known of the deployment when a sheet is checked.
+type Deployment struct {
 	// Busy lists the workspaces with traffic.
-	Busy []fleet.WorkspaceID
+	BusyWorkspaces []fleet.WorkspaceID
 	// DataCentres lists the data centres that have instances.
 	DataCentres []fleet.DataCentre
-	Servers     []ServerPlace
+	Servers     []ServerLocation
 }
 
-// ServerPlace says where a backend server stands.
-type ServerPlace struct {
+// ServerLocation says where a backend server stands.
+type ServerLocation struct {
 	DataCentre fleet.DataCentre
 	Group      fleet.GroupID
 	Server     fleet.ServerID
 }
 
-// Unsafe returns the unsafe effects that the newer sheet has and the older one
+// NewRisks returns the unsafe effects that the newer sheet has and the older one
 // had not, so that a sheet can be repaired in steps.
-func Unsafe(before, after Sheet, usage Usage) []Risk {
+func NewRisks(before, after Sheet, usage Deployment) []Risk {
 	earlier := standingRisks(before, usage)
 	var risks []Risk
 	for _, risk := range standingRisks(after, usage) {
@@ -87,7 +87,7 @@
 }
 
 // standingRisks returns the risks that a sheet has by itself.
-func standingRisks(s Sheet, usage Usage) []Risk {
+func standingRisks(s Sheet, usage Deployment) []Risk {
 	var risks []Risk
 	if allOut(s, usage) {
 		risks = append(risks, Risk{Kind: RiskAllDataCentresOut})
@@ -97,7 +97,7 @@
 			risks = append(risks, Risk{Kind: RiskNoServerLeft, Subject: string(group)})
 		}
 	}
-	for _, workspace := range usage.Busy {
+	for _, workspace := range usage.BusyWorkspaces {
 		if limits, known := s.Limits(workspace); known && limits.Rate == 0 {
 			risks = append(risks, Risk{Kind: RiskBusyWorkspaceStopped, Subject: string(workspace)})
 		}
@@ -107,7 +107,7 @@
 
 // unknownPlaces returns the places out of service that nothing is known of.
 // Without known servers nothing can be said.
-func unknownPlaces(s Sheet, usage Usage) []Risk {
+func unknownPlaces(s Sheet, usage Deployment) []Risk {
 	if len(usage.Servers) == 0 {
 		return nil
 	}
@@ -119,7 +119,7 @@
 		}
 	}
 	for _, server := range s.Servers {
-		isKnown := slices.ContainsFunc(usage.Servers, func(place ServerPlace) bool { return place.Server == server.Server })
+		isKnown := slices.ContainsFunc(usage.Servers, func(place ServerLocation) bool { return place.Server == server.Server })
 		if server.State == StateLeaving && !isKnown {
 			risks = append(risks, Risk{Kind: RiskUnknownServer, Subject: string(server.Server)})
 		}
@@ -130,7 +130,7 @@
 // allOut reports whether no known data centre is in service. Without any known
 // one the sheet's own list decides, if it has at least two: a list of one says
 // little, because data centres that are not listed are in service.
-func allOut(s Sheet, usage Usage) bool {
+func allOut(s Sheet, usage Deployment) bool {
 	known := dataCentresOf(usage)
 	if len(known) == 0 && len(s.DataCentres) > 1 {
 		for _, d := range s.DataCentres {
@@ -140,7 +140,7 @@
 	return len(known) > 0 && !slices.ContainsFunc(known, s.IsInService)
 }
 
-func dataCentresOf(usage Usage) []fleet.DataCentre {
+func dataCentresOf(usage Deployment) []fleet.DataCentre {
 	known := slices.Clone(usage.DataCentres)
 	for _, place := range usage.Servers {
 		known = append(known, place.DataCentre)
@@ -148,7 +148,7 @@
 	return known
 }
 
-func groupsOf(usage Usage) []fleet.GroupID {
+func groupsOf(usage Deployment) []fleet.GroupID {
 	var groups []fleet.GroupID
 	for _, place := range usage.Servers {
 		groups = append(groups, place.Group)
@@ -157,8 +157,8 @@
 	return slices.Compact(groups)
 }
 
-func hasServer(s Sheet, group fleet.GroupID, usage Usage) bool {
-	return slices.ContainsFunc(usage.Servers, func(place ServerPlace) bool {
+func hasServer(s Sheet, group fleet.GroupID, usage Deployment) bool {
+	return slices.ContainsFunc(usage.Servers, func(place ServerLocation) bool {
 		return place.Group == group && s.IsInService(place.DataCentre) && !s.IsLeaving(place.Server)
 	})
 }
