--- a/document/decoder.go
+++ b/document/decoder.go
@@ -10,34 +10,40 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// decoder copies a parsed tree into a struct.
+// decoder copies a parsed document into a struct and reports the problems found on
+// the way.
 type decoder struct {
 	document *Document
-	rules    map[string]Rule
+	// rules holds the rules by their Path.
+	rules map[string]Rule
 }
 
-// place is where a value stands: its key path, and the path for its rule.
-type place struct {
-	path    string
-	pattern string
+// location identifies a value by its key path, such as "Groups[0].Group", and by
+// the path of its rule, such as "Groups[].Group".
+type location struct {
+	path     string
+	rulePath string
 }
 
-func (p place) element(index int) place {
-	return place{path: p.path + "[" + strconv.Itoa(index) + "]", pattern: p.pattern + "[]"}
+func (p location) element(index int) location {
+	return location{path: p.path + "[" + strconv.Itoa(index) + "]", rulePath: p.rulePath + "[]"}
 }
 
-func (p place) field(name string) place {
+func (p location) field(name string) location {
 	if p.path == "" {
-		return place{path: name, pattern: name}
+		return location{path: name, rulePath: name}
 	}
-	return place{path: p.path + "." + name, pattern: p.pattern + "." + name}
+	return location{path: p.path + "." + name, rulePath: p.rulePath + "." + name}
 }
 
+// decodeRoot decodes the document into target, which is a pointer to a struct.
 func (d *decoder) decodeRoot(root hujson.Value, target any) {
-	d.decode(place{}, root, reflect.ValueOf(target).Elem())
+	d.decode(location{}, root, reflect.ValueOf(target).Elem())
 }
 
-func (d *decoder) decode(at place, value hujson.Value, target reflect.Value) {
+// decode decodes one value into target, according to its type, and records the
+// offset of the value.
+func (d *decoder) decode(at location, value hujson.Value, target reflect.Value) {
 	d.document.offsets[at.path] = value.StartOffset
 	switch {
 	case target.Type() == durationType:
@@ -47,7 +53,7 @@
 	case target.Kind() == reflect.Slice:
 		d.decodeList(at, value, target)
 	case target.Kind() == reflect.String:
-		d.decodeText(at, value, target)
+		d.decodeString(at, value, target)
 	case target.Kind() == reflect.Bool:
 		d.decodeBool(at, value, target)
 	default:
@@ -55,36 +61,36 @@
 	}
 }
 
-func (d *decoder) decodeBool(at place, value hujson.Value, target reflect.Value) {
+func (d *decoder) decodeBool(at location, value hujson.Value, target reflect.Value) {
 	kind := value.Value.Kind()
 	if kind != 't' && kind != 'f' {
-		d.refuse(at, value, "want true or false", false)
+		d.reject(at, value, "want true or false", false)
 		return
 	}
 	target.SetBool(kind == 't')
 }
 
-func (d *decoder) decodeDuration(at place, value hujson.Value, target reflect.Value) {
+func (d *decoder) decodeDuration(at location, value hujson.Value, target reflect.Value) {
 	if value.Value.Kind() != '"' {
-		d.refuse(at, value, `want a duration in quotes, such as "900ms"`, true)
+		d.reject(at, value, `want a duration in quotes, such as "900ms"`, true)
 		return
 	}
 	duration, err := time.ParseDuration(value.Value.(hujson.Literal).String())
 	if err != nil {
-		d.refuse(at, value, `want a duration, such as "900ms"`, true)
+		d.reject(at, value, `want a duration, such as "900ms"`, true)
 		return
 	}
-	if !d.rules[at.pattern].acceptsNumber(float64(duration)) {
-		d.refuse(at, value, "out of range", true)
+	if !d.rules[at.rulePath].acceptsNumber(float64(duration)) {
+		d.reject(at, value, "out of range", true)
 		return
 	}
 	target.SetInt(int64(duration))
 }
 
-func (d *decoder) decodeList(at place, value hujson.Value, target reflect.Value) {
+func (d *decoder) decodeList(at location, value hujson.Value, target reflect.Value) {
 	array, isArray := value.Value.(*hujson.Array)
 	if !isArray {
-		d.refuse(at, value, "want a list", false)
+		d.reject(at, value, "want a list", false)
 		return
 	}
 	list := reflect.MakeSlice(target.Type(), len(array.Elements), len(array.Elements))
@@ -92,14 +98,14 @@
 		d.decode(at.element(i), element, list.Index(i))
 	}
 	target.Set(list)
-	if d.rules[at.pattern].Required && list.Len() == 0 {
+	if d.rules[at.rulePath].Required && list.Len() == 0 {
 		d.document.Add(at.path, "list is empty")
 	}
 }
 
-func (d *decoder) decodeNumber(at place, value hujson.Value, target reflect.Value) {
+func (d *decoder) decodeNumber(at location, value hujson.Value, target reflect.Value) {
 	if value.Value.Kind() != '0' {
-		d.refuse(at, value, "want a number", false)
+		d.reject(at, value, "want a number", false)
 		return
 	}
 	text := string(value.Value.(hujson.Literal))
@@ -108,35 +114,36 @@
 		err = setNumber(target, text)
 	}
 	if err != nil {
-		d.refuse(at, value, "want "+numberName(target), false)
+		d.reject(at, value, "want "+describeNumber(target), false)
 		return
 	}
-	if !d.rules[at.pattern].acceptsNumber(number) {
-		d.refuse(at, value, "out of range", false)
+	if !d.rules[at.rulePath].acceptsNumber(number) {
+		d.reject(at, value, "out of range", false)
 		target.SetZero()
 	}
 }
 
-func (d *decoder) decodeStruct(at place, value hujson.Value, target reflect.Value) {
+func (d *decoder) decodeStruct(at location, value hujson.Value, target reflect.Value) {
 	object, isObject := value.Value.(*hujson.Object)
 	if !isObject {
-		d.refuse(at, value, "want an object", false)
+		d.reject(at, value, "want an object", false)
 		return
 	}
 	seen := map[string]bool{}
 	for _, member := range object.Members {
 		d.decodeMember(at, member, target, seen)
 	}
-	d.fillMissing(at, target, seen)
+	d.applyDefaults(at, target, seen)
 }
 
-func (d *decoder) decodeMember(at place, member hujson.ObjectMember, target reflect.Value, seen map[string]bool) {
+// decodeMember decodes one key of an object and adds its name to seen.
+func (d *decoder) decodeMember(at location, member hujson.ObjectMember, target reflect.Value, seen map[string]bool) {
 	name := member.Name.Value.(hujson.Literal).String()
 	child := at.field(name)
 	field := target.FieldByName(name)
 	switch {
 	case !field.IsValid():
-		d.document.add(member.Name.StartOffset, Problem{Message: unknownKey(name, target.Type()), Path: child.path})
+		d.document.add(member.Name.StartOffset, Problem{Message: unknownKeyMessage(name, target.Type()), Path: child.path})
 	case seen[name]:
 		d.document.add(member.Name.StartOffset, Problem{Message: "key occurs twice", Path: child.path})
 	default:
@@ -145,21 +152,22 @@
 	}
 }
 
-func (d *decoder) decodeText(at place, value hujson.Value, target reflect.Value) {
+func (d *decoder) decodeString(at location, value hujson.Value, target reflect.Value) {
 	if value.Value.Kind() != '"' {
-		d.refuse(at, value, "want a text in quotes", false)
+		d.reject(at, value, "want a string in quotes", false)
 		return
 	}
 	text := value.Value.(hujson.Literal).String()
-	if !d.rules[at.pattern].acceptsText(text) {
-		d.refuse(at, value, "value is not accepted", false)
+	if !d.rules[at.rulePath].acceptsText(text) {
+		d.reject(at, value, "value is not accepted", false)
 		return
 	}
 	target.SetString(text)
 }
 
-// fillMissing sets defaults of keys that are not in the document.
-func (d *decoder) fillMissing(at place, target reflect.Value, seen map[string]bool) {
+// applyDefaults sets the fields of a struct whose keys are missing in the document to
+// their defaults. Seen holds the names of the keys that are present.
+func (d *decoder) applyDefaults(at location, target reflect.Value, seen map[string]bool) {
 	for i := range target.NumField() {
 		name := target.Type().Field(i).Name
 		if seen[name] {
@@ -168,36 +176,41 @@
 		child := at.field(name)
 		field := target.Field(i)
 		if field.Kind() == reflect.Struct {
-			d.fillMissing(child, field, nil)
+			d.applyDefaults(child, field, nil)
 			continue
 		}
-		d.fillDefault(child, field)
+		d.applyDefault(child, field)
 	}
 }
 
-func (d *decoder) fillDefault(at place, field reflect.Value) {
-	rule := d.rules[at.pattern]
+// applyDefault sets the default of one missing key, and reports the key if it is
+// required.
+func (d *decoder) applyDefault(at location, field reflect.Value) {
+	rule := d.rules[at.rulePath]
 	if rule.Required {
 		d.document.Add(at.path, "key is missing")
 	}
 	if rule.Default == "" {
 		return
 	}
-	if err := setText(field, rule.Default); err != nil {
-		d.document.Add(at.path, "default "+rule.Default+": "+err.Error())
+	if err := parseInto(field, rule.Default); err != nil {
+		d.document.Add(at.path, "invalid default "+rule.Default+": "+err.Error())
 	}
 }
 
-func (d *decoder) refuse(at place, value hujson.Value, message string, duration bool) {
-	rule := d.rules[at.pattern]
-	problem := Problem{Accepted: rule.Accepted(duration), Message: message, Path: at.path}
+// reject reports that a value is not accepted. The problem contains the value, unless
+// it is secret.
+func (d *decoder) reject(at location, value hujson.Value, message string, isDuration bool) {
+	rule := d.rules[at.rulePath]
+	problem := Problem{Accepted: rule.Accepted(isDuration), Message: message, Path: at.path}
 	if literal, isLiteral := value.Value.(hujson.Literal); isLiteral && !rule.Secret {
 		problem.Value = string(literal)
 	}
 	d.document.add(value.StartOffset, problem)
 }
 
-func numberName(target reflect.Value) string {
+// describeNumber describes the numbers that a field can hold.
+func describeNumber(target reflect.Value) string {
 	switch target.Kind() {
 	case reflect.Float64:
 		return "a number"
@@ -208,6 +221,7 @@
 	}
 }
 
+// setNumber parses a number and assigns it to a field.
 func setNumber(target reflect.Value, text string) error {
 	switch target.Kind() {
 	case reflect.Float64:
@@ -225,7 +239,8 @@
 	}
 }
 
-func setText(target reflect.Value, text string) error {
+// parseInto parses the text form of a value and assigns it to a field.
+func parseInto(target reflect.Value, text string) error {
 	switch {
 	case target.Type() == durationType:
 		duration, err := time.ParseDuration(text)
--- a/document/document.go
+++ b/document/document.go
@@ -1,5 +1,5 @@
-// Package document reads JSON with comments into typed structs. It reports
-// all problems of a document at once, each with line, column and key path.
+// Package document decodes JSON with comments into structs and validates the values.
+// It reports all problems of a document at once, each with line, column and key path.
 package document
 
 import (
@@ -14,25 +14,27 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxBytes is the largest accepted document. It bounds the work of a parse.
+// MaxBytes is the maximum size of a document. It limits the cost of parsing.
 const MaxBytes = 8 << 20
 
-// maxDepth bounds the nesting of lists and objects. The formats of the project
-// need 6 levels; the parser of the library is recursive.
+// maxDepth is the maximum nesting depth of lists and objects. It protects the stack,
+// because the hujson parser is recursive. The formats of this project need 6 levels.
 const maxDepth = 64
 
+// syntaxPattern matches the syntax errors of the hujson parser.
 var syntaxPattern = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
-// Document is a parsed document with its problems.
+// Document is a decoded document with the problems found in it.
 type Document struct {
-	content  []byte
-	file     string
+	content []byte
+	file    string
+	// offsets holds the byte offset of each decoded value by its key path.
 	offsets  map[string]int
 	problems []Problem
 }
 
-// Decode reads content into target, a pointer to a struct. Keys are the names
-// of the Go fields. Missing keys get the defaults of the rules. The file name
+// Decode decodes content into target, which is a pointer to a struct. Keys are the
+// names of the Go fields. Missing keys get the defaults of the rules. The file name
 // is used only in problems.
 func Decode(file string, content []byte, rules []Rule, target any) *Document {
 	d := &Document{content: content, file: file, offsets: map[string]int{"": 0}}
@@ -40,13 +42,13 @@
 		d.add(0, Problem{Message: "document is larger than " + strconv.Itoa(MaxBytes) + " bytes"})
 		return d
 	}
-	if offset, deep := tooDeep(content); deep {
+	if offset, tooDeep := exceedsMaxDepth(content); tooDeep {
 		d.add(offset, Problem{Message: "nested more than " + strconv.Itoa(maxDepth) + " levels deep"})
 		return d
 	}
 	root, err := hujson.Parse(content)
 	if err != nil {
-		d.addSyntax(err)
+		d.addSyntaxError(err)
 		return d
 	}
 	decoder := &decoder{document: d, rules: indexRules(rules)}
@@ -54,18 +56,18 @@
 	return d
 }
 
-// Add records a problem at a key path. When the path is not in the document,
-// the place of its nearest parent is reported.
+// Add reports a problem with the value at a key path. If the document does not
+// contain the path, the position of the nearest parent is reported.
 func (d *Document) Add(path, message string) {
 	d.add(d.offset(path), Problem{Message: message, Path: path})
 }
 
-// AddAt records a problem at a byte offset of the document.
+// AddAt reports a problem at a byte offset of the document.
 func (d *Document) AddAt(offset int, message string) {
 	d.add(offset, Problem{Message: message})
 }
 
-// Problems returns all problems in the order of their places.
+// Problems returns all problems, ordered by position.
 func (d *Document) Problems() []Problem {
 	sorted := slices.Clone(d.problems)
 	slices.SortStableFunc(sorted, func(a, b Problem) int {
@@ -76,20 +78,23 @@
 
 func (d *Document) add(offset int, problem Problem) {
 	problem.File = d.file
-	problem.Line, problem.Column = d.place(offset)
+	problem.Line, problem.Column = d.position(offset)
 	d.problems = append(d.problems, problem)
 }
 
-func (d *Document) addSyntax(err error) {
-	problem := Problem{Column: 1, File: d.file, Line: 1, Message: "syntax: " + err.Error()}
+// addSyntaxError reports an error of the hujson parser.
+func (d *Document) addSyntaxError(err error) {
+	problem := Problem{Column: 1, File: d.file, Line: 1, Message: "syntax error: " + err.Error()}
 	if m := syntaxPattern.FindStringSubmatch(err.Error()); m != nil {
 		problem.Line, _ = strconv.Atoi(m[1])
 		problem.Column, _ = strconv.Atoi(m[2])
-		problem.Message = "syntax: " + m[3]
+		problem.Message = "syntax error: " + m[3]
 	}
 	d.problems = append(d.problems, problem)
 }
 
+// offset returns the byte offset of the value at a key path, or that of its nearest
+// parent in the document.
 func (d *Document) offset(path string) int {
 	for {
 		if offset, known := d.offsets[path]; known {
@@ -99,21 +104,23 @@
 	}
 }
 
-// place returns line and column, both counted from one.
-func (d *Document) place(offset int) (line, column int) {
+// position returns the line and the column of a byte offset, both counted from one.
+func (d *Document) position(offset int) (line, column int) {
 	before := d.content[:min(max(offset, 0), len(d.content))]
 	line = 1 + strings.Count(string(before), "\n")
 	lineStart := strings.LastIndexByte(string(before), '\n') + 1
 	return line, 1 + utf8.RuneCount(before[lineStart:])
 }
 
-// tooDeep scans for nesting without parsing.
-func tooDeep(content []byte) (offset int, deep bool) {
+// exceedsMaxDepth reports whether the content is nested deeper than maxDepth, with
+// the offset at which it is. It scans the content instead of parsing it, because the
+// parser would exhaust the stack.
+func exceedsMaxDepth(content []byte) (offset int, exceeded bool) {
 	depth := 0
 	for i := 0; i < len(content); i++ {
 		switch content[i] {
 		case '"':
-			i = skipText(content, i)
+			i = skipString(content, i)
 		case '/':
 			i = skipComment(content, i)
 		case '{', '[':
@@ -128,26 +135,27 @@
 	return 0, false
 }
 
-// skipComment returns the offset of the last byte of a comment that starts at i.
+// skipComment returns the offset of the last byte of the comment that starts at i, or
+// i if no comment starts there.
 func skipComment(content []byte, i int) int {
-	end, opening := "", 2
+	terminator, markerLength := "", 2
 	switch {
 	case bytes.HasPrefix(content[i:], []byte("//")):
-		end = "\n"
+		terminator = "\n"
 	case bytes.HasPrefix(content[i:], []byte("/*")):
-		end = "*/"
+		terminator = "*/"
 	default:
 		return i
 	}
-	length := bytes.Index(content[i+opening:], []byte(end))
+	length := bytes.Index(content[i+markerLength:], []byte(terminator))
 	if length < 0 {
 		return len(content)
 	}
-	return i + opening + length + len(end) - 1
+	return i + markerLength + length + len(terminator) - 1
 }
 
-// skipText returns the offset of the quote that ends a text that starts at i.
-func skipText(content []byte, i int) int {
+// skipString returns the offset of the closing quote of the string that starts at i.
+func skipString(content []byte, i int) int {
 	for i++; i < len(content) && content[i] != '"'; i++ {
 		if content[i] == '\\' {
 			i++
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -33,8 +33,9 @@
 	{Path: "Part.Weight", Default: "0.5"},
 }
 
-// TestDecodeDefaults guards against defaults that replace given values, also
-// zero values, and against missing parts without their defaults.
+// TestDecodeDefaults guards against defaults that replace values in the document,
+// including zero values, and against missing objects whose fields do not get their
+// defaults.
 func TestDecodeDefaults(t *testing.T) {
 	var got sample
 	d := document.Decode("f", []byte(`{"Flag": false, "List": [{"Text": "a"},], /* c */}`), sampleRules, &got)
@@ -47,8 +48,8 @@
 	}
 }
 
-// TestDecodePositions guards against problems at a wrong place: columns count
-// characters, not bytes, and secret values are not shown.
+// TestDecodePositions guards against wrong positions of problems, whose columns count
+// characters and not bytes, and against secret values in problems.
 func TestDecodePositions(t *testing.T) {
 	var got sample
 	content := "{/* é */ \"Number\": 10,\n\t\"List\": [{\"Text\": \"not a name\"}, {}], \"Part\": 1,\n\t\"Flag\": null, \"Duration\": 5}"
--- a/document/problem.go
+++ b/document/problem.go
@@ -5,9 +5,10 @@
 	"strings"
 )
 
-// Problem is one fault of a document, with its place.
+// Problem is one error in a document, with its position.
 type Problem struct {
-	// Accepted describes the accepted values; empty when it does not apply.
+	// Accepted describes the accepted values. It is empty if the problem is not
+	// about the value.
 	Accepted string `json:",omitempty"`
 	// Column counts characters from one.
 	Column int
@@ -17,11 +18,12 @@
 	Message string
 	// Path is the key path, for example "Groups[0].Servers[1].Address".
 	Path string `json:",omitempty"`
-	// Value is the value found in its JSON form; empty for missing and secret values.
+	// Value is the value in the document in JSON form. It is empty for missing and
+	// secret values, and for lists and objects.
 	Value string `json:",omitempty"`
 }
 
-// String returns the problem as one line in the form of a compiler message.
+// String returns the problem as one line in the format of a compiler message.
 func (p Problem) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s:%d:%d: ", p.File, p.Line, p.Column)
--- a/document/rule.go
+++ b/document/rule.go
@@ -12,26 +12,27 @@
 	"time"
 )
 
-// Format names the accepted form of a text value.
+// Format is the accepted format of a string value. Its text describes the format to
+// users.
 type Format string
 
-// Formats of text values.
+// Formats of string values.
 const (
-	// FormatAddress is an IP number and a port.
+	// FormatAddress is an IP address and a port.
 	FormatAddress Format = "IP:port"
-	// FormatAny is any text that is not empty.
+	// FormatAny is any string that is not empty.
 	FormatAny Format = "text"
 	// FormatBase64 is standard base64 with padding.
 	FormatBase64 Format = "base64"
-	// FormatBase64SHA256 is a SHA-256 sum in standard base64 with padding.
+	// FormatBase64SHA256 is a SHA-256 digest in standard base64 with padding.
 	FormatBase64SHA256 Format = "base64 of 32 bytes"
 	// FormatName is a short name of letters, digits, dot, hyphen and underscore.
 	FormatName Format = "1 to 63 of A-Z a-z 0-9 . _ -, first a letter or digit"
 	// FormatPath is the path of a file.
 	FormatPath Format = "file path"
-	// FormatSHA256 is a SHA-256 sum in hexadecimal.
+	// FormatSHA256 is a SHA-256 digest in hexadecimal.
 	FormatSHA256 Format = "64 hexadecimal digits"
-	// FormatTime is a time in RFC 3339 form.
+	// FormatTime is a time in RFC 3339 format.
 	FormatTime Format = "RFC 3339 time"
 	// FormatURL is an http or https URL.
 	FormatURL Format = "http:// or https:// URL"
@@ -39,33 +40,35 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Rule says what values a key accepts.
+// Rule defines the default and the accepted values of a key.
 type Rule struct {
-	// Choices lists the accepted texts, when they are few.
+	// Choices lists the accepted strings. If it is empty, Format applies.
 	Choices []string
-	// Default is the text form of the value of a missing key; empty means the zero value.
+	// Default is the text form of the value for a missing key. Empty means the zero
+	// value.
 	Default string
-	// Format is the accepted form of a text value.
+	// Format is the accepted format of a string value.
 	Format Format
-	// Max is the largest accepted number; durations are in nanoseconds.
+	// Max is the largest accepted number. Durations are in nanoseconds.
 	Max float64
-	// Min is the smallest accepted number; durations are in nanoseconds. Min
-	// and Max both zero mean that there is no range.
+	// Min is the smallest accepted number. Durations are in nanoseconds. If Min and
+	// Max are both zero, all numbers are accepted.
 	Min float64
-	// Path is the key path with "[]" for each list index.
+	// Path is the key path with "[]" in place of each list index.
 	Path string
-	// Required is true when the key may not be missing or empty.
+	// Required is true if the key must be present and must not be empty.
 	Required bool
-	// Secret keeps the value out of problems.
+	// Secret is true if problems must not contain the value.
 	Secret bool
 }
 
-// Accepted describes the accepted values of a duration or other value.
-func (r Rule) Accepted(duration bool) string {
+// Accepted describes the accepted values to users. IsDuration is true if the value is
+// a duration.
+func (r Rule) Accepted(isDuration bool) string {
 	switch {
 	case len(r.Choices) > 0:
 		return strings.Join(r.Choices, ", ")
-	case duration && r.isBounded():
+	case isDuration && r.isBounded():
 		return time.Duration(r.Min).String() + " to " + time.Duration(r.Max).String()
 	case r.isBounded():
 		return formatNumber(r.Min) + " to " + formatNumber(r.Max)
--- a/document/suggest.go
+++ b/document/suggest.go
@@ -5,17 +5,20 @@
 	"strings"
 )
 
-// maxSuggestDistance is the largest number of edits between an unknown key and
-// a suggestion. More edits give suggestions that have little to do with the key.
+// maxSuggestDistance is the maximum edit distance between an unknown key and a
+// suggested key. With a larger distance the suggestions are unrelated to the key.
 const maxSuggestDistance = 3
 
-// maxSuggestLength bounds the keys that are compared.
+// maxSuggestLength is the maximum length of a key for which a suggestion is made. It
+// limits the cost of the comparison.
 const maxSuggestLength = 64
 
-func unknownKey(name string, structure reflect.Type) string {
+// unknownKeyMessage returns the message for an unknown key. It suggests the field
+// with the most similar name.
+func unknownKeyMessage(name string, structType reflect.Type) string {
 	best, bestDistance := "", maxSuggestDistance+1
-	for i := range structure.NumField() {
-		known := structure.Field(i).Name
+	for i := range structType.NumField() {
+		known := structType.Field(i).Name
 		if distance := editDistance(strings.ToLower(name), strings.ToLower(known)); distance < bestDistance {
 			best, bestDistance = known, distance
 		}
@@ -26,7 +29,8 @@
 	return "unknown key, did you mean " + best + "?"
 }
 
-// editDistance is the Levenshtein distance.
+// editDistance returns the Levenshtein distance. If a is too long to be compared, it
+// returns the length of a.
 func editDistance(a, b string) int {
 	if len(a) > maxSuggestLength {
 		return len(a)
--- a/gen/nutmegpier/v1/nutmegpierv1connect/admin.connect.go
+++ b/gen/nutmegpier/v1/nutmegpierv1connect/admin.connect.go
@@ -56,13 +56,14 @@
 	Drain(context.Context, *connect.Request[v1.DrainRequest]) (*connect.Response[v1.DrainResponse], error)
 	// GetSheet returns one sheet version. Role: Read.
 	GetSheet(context.Context, *connect.Request[v1.GetSheetRequest]) (*connect.Response[v1.GetSheetResponse], error)
-	// ListSheets returns the history of sheets, newest first. Role: Read.
+	// ListSheets returns the history of published sheets, newest first. Role: Read.
 	ListSheets(context.Context, *connect.Request[v1.ListSheetsRequest]) (*connect.Response[v1.ListSheetsResponse], error)
-	// PublishSheet publishes a sheet against the version that the operator saw. Role: Publish.
+	// PublishSheet publishes a sheet if its base version is still the newest. Role: Publish.
 	PublishSheet(context.Context, *connect.Request[v1.PublishSheetRequest]) (*connect.Response[v1.PublishSheetResponse], error)
-	// Restore brings a data centre or a backend server back. Role: Operate.
+	// Restore puts a data centre or a backend server back into service. Role: Operate.
 	Restore(context.Context, *connect.Request[v1.RestoreRequest]) (*connect.Response[v1.RestoreResponse], error)
-	// Status returns the state of the instance and what it knows of the others. Role: Read.
+	// Status returns the state of the instance, and of the other instances as it
+	// knows them. Role: Read.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
 	// Timeline returns recorded events. Role: Read.
 	Timeline(context.Context, *connect.Request[v1.TimelineRequest]) (*connect.Response[v1.TimelineResponse], error)
@@ -176,13 +177,14 @@
 	Drain(context.Context, *connect.Request[v1.DrainRequest]) (*connect.Response[v1.DrainResponse], error)
 	// GetSheet returns one sheet version. Role: Read.
 	GetSheet(context.Context, *connect.Request[v1.GetSheetRequest]) (*connect.Response[v1.GetSheetResponse], error)
-	// ListSheets returns the history of sheets, newest first. Role: Read.
+	// ListSheets returns the history of published sheets, newest first. Role: Read.
 	ListSheets(context.Context, *connect.Request[v1.ListSheetsRequest]) (*connect.Response[v1.ListSheetsResponse], error)
-	// PublishSheet publishes a sheet against the version that the operator saw. Role: Publish.
+	// PublishSheet publishes a sheet if its base version is still the newest. Role: Publish.
 	PublishSheet(context.Context, *connect.Request[v1.PublishSheetRequest]) (*connect.Response[v1.PublishSheetResponse], error)
-	// Restore brings a data centre or a backend server back. Role: Operate.
+	// Restore puts a data centre or a backend server back into service. Role: Operate.
 	Restore(context.Context, *connect.Request[v1.RestoreRequest]) (*connect.Response[v1.RestoreResponse], error)
-	// Status returns the state of the instance and what it knows of the others. Role: Read.
+	// Status returns the state of the instance, and of the other instances as it
+	// knows them. Role: Read.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
 	// Timeline returns recorded events. Role: Read.
 	Timeline(context.Context, *connect.Request[v1.TimelineRequest]) (*connect.Response[v1.TimelineResponse], error)
--- a/gen/nutmegpier/v1/nutmegpierv1connect/peer.connect.go
+++ b/gen/nutmegpier/v1/nutmegpierv1connect/peer.connect.go
@@ -55,19 +55,22 @@
 
 // PeerServiceClient is a client for the nutmegpier.v1.PeerService service.
 type PeerServiceClient interface {
-	// ConfirmTransfer tells the giver that a transfer of shares was accepted.
+	// ConfirmTransfer tells the donor that a transfer of shares was accepted.
 	ConfirmTransfer(context.Context, *connect.Request[v1.ConfirmTransferRequest]) (*connect.Response[v1.ConfirmTransferResponse], error)
-	// Exchange is the periodic message between two instances.
+	// Exchange exchanges the periodic state messages of two instances.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeResponse], error)
 	// FetchRoster returns one roster generation.
 	FetchRoster(context.Context, *connect.Request[v1.FetchRosterRequest]) (*connect.Response[v1.FetchRosterResponse], error)
 	// FetchSheet returns one sheet version.
 	FetchSheet(context.Context, *connect.Request[v1.FetchSheetRequest]) (*connect.Response[v1.FetchSheetResponse], error)
-	// ForwardCancel passes on a cancel request for a session of another instance.
+	// ForwardCancel forwards a cancel request to the instance that may have the
+	// session.
 	ForwardCancel(context.Context, *connect.Request[v1.ForwardCancelRequest]) (*connect.Response[v1.ForwardCancelResponse], error)
-	// QueryTransfer asks whether a transfer was accepted. The answer no bars it for good.
+	// QueryTransfer asks the receiver whether it accepted a transfer. If it responds
+	// that it did not, it will not accept the transfer later.
 	QueryTransfer(context.Context, *connect.Request[v1.QueryTransferRequest]) (*connect.Response[v1.QueryTransferResponse], error)
-	// TransferShares asks for a part of the receiver's shares.
+	// TransferShares requests a part of the shares of the called instance, which
+	// becomes the donor.
 	TransferShares(context.Context, *connect.Request[v1.TransferSharesRequest]) (*connect.Response[v1.TransferSharesResponse], error)
 }
 
@@ -175,19 +178,22 @@
 
 // PeerServiceHandler is an implementation of the nutmegpier.v1.PeerService service.
 type PeerServiceHandler interface {
-	// ConfirmTransfer tells the giver that a transfer of shares was accepted.
+	// ConfirmTransfer tells the donor that a transfer of shares was accepted.
 	ConfirmTransfer(context.Context, *connect.Request[v1.ConfirmTransferRequest]) (*connect.Response[v1.ConfirmTransferResponse], error)
-	// Exchange is the periodic message between two instances.
+	// Exchange exchanges the periodic state messages of two instances.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeResponse], error)
 	// FetchRoster returns one roster generation.
 	FetchRoster(context.Context, *connect.Request[v1.FetchRosterRequest]) (*connect.Response[v1.FetchRosterResponse], error)
 	// FetchSheet returns one sheet version.
 	FetchSheet(context.Context, *connect.Request[v1.FetchSheetRequest]) (*connect.Response[v1.FetchSheetResponse], error)
-	// ForwardCancel passes on a cancel request for a session of another instance.
+	// ForwardCancel forwards a cancel request to the instance that may have the
+	// session.
 	ForwardCancel(context.Context, *connect.Request[v1.ForwardCancelRequest]) (*connect.Response[v1.ForwardCancelResponse], error)
-	// QueryTransfer asks whether a transfer was accepted. The answer no bars it for good.
+	// QueryTransfer asks the receiver whether it accepted a transfer. If it responds
+	// that it did not, it will not accept the transfer later.
 	QueryTransfer(context.Context, *connect.Request[v1.QueryTransferRequest]) (*connect.Response[v1.QueryTransferResponse], error)
-	// TransferShares asks for a part of the receiver's shares.
+	// TransferShares requests a part of the shares of the called instance, which
+	// becomes the donor.
 	TransferShares(context.Context, *connect.Request[v1.TransferSharesRequest]) (*connect.Response[v1.TransferSharesResponse], error)
 }
 
--- a/gen/nutmegpier/v1/nutmegpierv1connect/platform.connect.go
+++ b/gen/nutmegpier/v1/nutmegpierv1connect/platform.connect.go
@@ -54,9 +54,9 @@
 type PlatformServiceClient interface {
 	// GetObject returns one object.
 	GetObject(context.Context, *connect.Request[v1.GetObjectRequest]) (*connect.Response[v1.GetObjectResponse], error)
-	// ListInstances returns the live and leaving instances as the platform knows them.
+	// ListInstances returns the platform's list of live and leaving instances.
 	ListInstances(context.Context, *connect.Request[v1.ListInstancesRequest]) (*connect.Response[v1.ListInstancesResponse], error)
-	// PutObject stores one object.
+	// PutObject stores one object and replaces an existing one.
 	PutObject(context.Context, *connect.Request[v1.PutObjectRequest]) (*connect.Response[v1.PutObjectResponse], error)
 	// ReadRows reads rows of the table in one consistent read.
 	ReadRows(context.Context, *connect.Request[v1.ReadRowsRequest]) (*connect.Response[v1.ReadRowsResponse], error)
@@ -146,9 +146,9 @@
 type PlatformServiceHandler interface {
 	// GetObject returns one object.
 	GetObject(context.Context, *connect.Request[v1.GetObjectRequest]) (*connect.Response[v1.GetObjectResponse], error)
-	// ListInstances returns the live and leaving instances as the platform knows them.
+	// ListInstances returns the platform's list of live and leaving instances.
 	ListInstances(context.Context, *connect.Request[v1.ListInstancesRequest]) (*connect.Response[v1.ListInstancesResponse], error)
-	// PutObject stores one object.
+	// PutObject stores one object and replaces an existing one.
 	PutObject(context.Context, *connect.Request[v1.PutObjectRequest]) (*connect.Response[v1.PutObjectResponse], error)
 	// ReadRows reads rows of the table in one consistent read.
 	ReadRows(context.Context, *connect.Request[v1.ReadRowsRequest]) (*connect.Response[v1.ReadRowsResponse], error)
--- a/gen/nutmegpier/v1/nutmegpierv1connect/relay.connect.go
+++ b/gen/nutmegpier/v1/nutmegpierv1connect/relay.connect.go
@@ -39,7 +39,8 @@
 
 // RelayServiceClient is a client for the nutmegpier.v1.RelayService service.
 type RelayServiceClient interface {
-	// Changes waits for a newer answer of the store about a table.
+	// Changes returns the changes of a table since a revision, from the newest response
+	// of the store that the called instance has.
 	Changes(context.Context, *connect.Request[v1.ChangesRequest]) (*connect.Response[v1.ChangesResponse], error)
 }
 
@@ -75,7 +76,8 @@
 
 // RelayServiceHandler is an implementation of the nutmegpier.v1.RelayService service.
 type RelayServiceHandler interface {
-	// Changes waits for a newer answer of the store about a table.
+	// Changes returns the changes of a table since a revision, from the newest response
+	// of the store that the called instance has.
 	Changes(context.Context, *connect.Request[v1.ChangesRequest]) (*connect.Response[v1.ChangesResponse], error)
 }
 
--- a/metastore/client_test.go
+++ b/metastore/client_test.go
@@ -28,7 +28,7 @@
 	return service, metastore.NewClient(httpClient, url), ctx
 }
 
-// mustWrite writes rows and returns whether they were applied.
+// mustWrite writes rows and returns whether they were written.
 func mustWrite(t *testing.T, ctx context.Context, c *metastore.Client, conditions []metastore.Condition, rows ...metastore.Row) bool {
 	t.Helper()
 	applied, _, err := c.Write(ctx, conditions, rows)
@@ -38,17 +38,17 @@
 	return applied
 }
 
-// TestConditionalWrite guards against two racing writers that both win, and
-// against a part of a refused write taking effect.
+// TestConditionalWrite guards against two concurrent conditional writes that are both
+// applied, and against a rejected write that takes effect in part.
 func TestConditionalWrite(t *testing.T) {
 	_, c, ctx := newClient(t)
 	absent := []metastore.Condition{{Key: "head"}}
 	first := metastore.Row{Key: "head", Value: []byte("1")}
 	if !mustWrite(t, ctx, c, absent, first, metastore.Row{Key: "sheet/1", Value: []byte("a")}) {
-		t.Error("the first write was refused")
+		t.Error("the first write was not applied")
 	}
 	if mustWrite(t, ctx, c, absent, metastore.Row{Key: "head", Value: []byte("2")}, metastore.Row{Key: "sheet/2"}) {
-		t.Error("a write against a stale condition was applied")
+		t.Error("a write with an outdated condition was applied")
 	}
 	rows, err := c.ReadPrefix(ctx, "sheet/")
 	if err != nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestLostAnswer guards against a stand-in that loses the change together
-// with the answer: callers must find the change when they read back.
+// TestLostAnswer guards against a simulated platform that loses a write together with
+// the response. Clients must find the write when they read the row back.
 func TestLostAnswer(t *testing.T) {
 	service, c, ctx := newClient(t)
 	service.LoseAnswers(1)
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestOutage guards against calls that outlast their deadline in an outage, and
-// against an outage that changes stored data.
+// TestOutage guards against calls that succeed or exceed their deadline in an outage,
+// and against an outage that changes stored data.
 func TestOutage(t *testing.T) {
 	service, c, ctx := newClient(t)
 	if err := c.Put(ctx, "object", []byte("content")); err != nil {
@@ -97,13 +97,13 @@
 	}
 	service.SetOutage(standin.OutageFail)
 	if err := c.Put(ctx, "object", nil); err == nil {
-		t.Error("Put() succeeded in an outage")
+		t.Error("Put() succeeded during an outage")
 	}
 	service.SetOutage(standin.OutageHang)
 	expired, cancel := context.WithTimeout(ctx, time.Millisecond)
 	defer cancel()
 	if _, _, err := c.Get(expired, "object"); err == nil {
-		t.Error("Get() succeeded in an outage")
+		t.Error("Get() succeeded during an outage")
 	}
 	service.SetOutage(standin.OutageNone)
 	content, found, err := c.Get(ctx, "object")
@@ -115,7 +115,8 @@
 	}
 }
 
-// TestInstanceListLags guards against a frozen list that shows later changes.
+// TestInstanceListLags guards against a simulated platform whose list of instances
+// shows changes although it is frozen.
 func TestInstanceListLags(t *testing.T) {
 	service, c, ctx := newClient(t)
 	a := metastore.Instance{DataCentre: "gt-1", ID: "a", PeerAddress: "127.0.0.1:1", State: metastore.InstanceLive}
--- a/metastore/error.go
+++ b/metastore/error.go
@@ -7,10 +7,10 @@
 
 // Kinds of errors.
 const (
-	// KindInvalid means that the service refused the call as malformed.
+	// KindInvalid means that the request or the response is not valid.
 	KindInvalid Kind = "Invalid"
-	// KindUnavailable means that the service could not be reached or did not
-	// answer in time. A write may have taken effect.
+	// KindUnavailable means that the service could not be reached, did not respond
+	// in time or failed. A write may have taken effect.
 	KindUnavailable Kind = "Unavailable"
 )
 
@@ -24,7 +24,7 @@
 	Op string
 }
 
-// Error returns the text of the error.
+// Error returns the operation, the kind and the cause.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("metastore: %s: %s", e.Op, e.Kind)
--- a/metastore/metastore.go
+++ b/metastore/metastore.go
@@ -1,5 +1,6 @@
-// Package metastore speaks to the store of an installation: its transactional table, its
-// object store and its list of instances.
+// Package metastore defines the services that the platform provides to a deployment,
+// namely a transactional table, an object store and a list of instances, and
+// implements a client for them.
 package metastore
 
 import (
@@ -15,68 +16,70 @@
 type Row struct {
 	// Key names the row.
 	Key string
-	// Revision is the row's revision. It is ignored in a write.
+	// Revision is the revision of the row. A write ignores it.
 	Revision Revision
-	// Value is the content.
+	// Value is the content of the row.
 	Value []byte
 }
 
-// Condition holds when the row has this revision.
+// Condition is a precondition of a write: the row must have this revision.
 type Condition struct {
 	// Key names the row.
 	Key string
-	// Revision is the expected revision. Zero means that the row is absent.
+	// Revision is the expected revision. Zero means that the row must be absent.
 	Revision Revision
 }
 
-// Table is the platform's transactional table. An error of Write leaves open
-// whether the write took effect.
+// Table is the platform's transactional table. If Write returns an error, the write
+// may or may not have taken effect.
 type Table interface {
-	// Read reads the rows with the keys in one consistent read. Absent rows
-	// are left out. The order is that of the keys' bytes.
+	// Read reads the rows with the given keys in one consistent read. The result
+	// is in bytewise order of the keys and does not contain absent rows.
 	Read(ctx context.Context, keys ...string) ([]Row, error)
-	// ReadPrefix reads all rows whose key starts with the prefix, which is
-	// not empty.
+	// ReadPrefix reads all rows whose key starts with the prefix, which must not
+	// be empty.
 	ReadPrefix(ctx context.Context, prefix string) ([]Row, error)
-	// Write writes all rows if all conditions hold, and none otherwise. It
-	// returns whether it wrote, and the rows named in the call as they are
-	// after it. Absent rows have revision zero.
+	// Write writes all rows if all conditions hold, and none otherwise. Applied
+	// reports whether it wrote the rows. After holds the rows named in the
+	// conditions and the write, as they are after the call. Absent rows have
+	// revision zero.
 	Write(ctx context.Context, conditions []Condition, rows []Row) (applied bool, after []Row, err error)
 }
 
 // ObjectStore is the platform's object store.
 type ObjectStore interface {
-	// Get returns an object, and whether it exists.
+	// Get returns the content of an object and whether the object exists.
 	Get(ctx context.Context, name string) (content []byte, found bool, err error)
-	// Put stores an object.
+	// Put stores an object and replaces an existing one.
 	Put(ctx context.Context, name string, content []byte) error
 }
 
-// InstanceState says whether an instance is to stay.
+// InstanceState is the state of an instance according to the platform.
 type InstanceState string
 
 // States of an instance.
 const (
 	// InstanceLeaving is an instance that the platform is about to stop.
 	InstanceLeaving InstanceState = "Leaving"
-	// InstanceLive is an instance that stays.
+	// InstanceLive is an instance that the platform keeps running.
 	InstanceLive InstanceState = "Live"
 )
 
 // Instance is one entry of the platform's list of instances.
 type Instance struct {
-	// DataCentre is where the instance runs.
+	// DataCentre is the data centre in which the instance runs.
 	DataCentre fleet.DataCentre
-	// ID is the id of the instance.
-	ID fleet.InstanceID
-	// PeerAddress is "ip:port" of the instance's peer listener.
+	ID         fleet.InstanceID
+	// PeerAddress is the address, as "ip:port", on which the instance accepts
+	// connections from other instances.
 	PeerAddress string
-	// State says whether the instance is to stay.
+	// State is InstanceLeaving or InstanceLive.
 	State InstanceState
 }
 
-// InstanceList is the platform's lagging list of instances.
+// InstanceList is the platform's list of instances. It may lag behind the actual
+// state.
 type InstanceList interface {
-	// Instances returns the listed instances in the order of their ids.
+	// Instances returns the listed instances, ordered by ID.
 	Instances(ctx context.Context) ([]Instance, error)
 }
--- a/operator/auth.go
+++ b/operator/auth.go
@@ -16,21 +16,23 @@
 	"github.com/nutmegpier/nutmegpier/settings"
 )
 
-// principalSumLength is the number of hexadecimal digits of a token's sum that
-// name its owner in the history. They tell tokens apart without giving them away.
-const principalSumLength = 8
+// principalHashDigits is the number of hexadecimal digits of a token's SHA-256 digest
+// in the name of its owner, which the history of sheets shows. They distinguish the
+// tokens and do not reveal them.
+const principalHashDigits = 8
 
-// principal is the owner of a token.
+// principal is the owner of a token, with a name such as "Publish/0a1b2c3d".
 type principal struct {
 	name string
 	role settings.Role
 }
 
-type principalKey struct{}
+// principalContextKey is the context key of the principal of a request.
+type principalContextKey struct{}
 
-// neededRole returns the role that a procedure needs. Procedures that are not
-// listed need the highest role.
-func neededRole(procedure string) settings.Role {
+// requiredRole returns the role that a procedure requires. Procedures that are not
+// listed require the highest role.
+func requiredRole(procedure string) settings.Role {
 	switch procedure {
 	case nutmegpierv1connect.AdminServiceGetSheetProcedure,
 		nutmegpierv1connect.AdminServiceListSheetsProcedure,
@@ -45,6 +47,8 @@
 	}
 }
 
+// rank returns the position of a role in the order of increasing permissions, or zero
+// for an unknown role.
 func rank(role settings.Role) int {
 	switch role {
 	case settings.RolePublish:
@@ -58,8 +62,9 @@
 	}
 }
 
-// authenticate finds the owner of a bearer token. Each known sum is compared
-// in constant time, so that the time of the answer tells nothing about them.
+// authenticate returns the owner of the bearer token in an Authorization header. It
+// compares the digest of the token with all known digests in constant time, so that
+// the response time reveals nothing about them.
 func authenticate(header string, tokens []settings.Token) (principal, bool) {
 	scheme, token, found := strings.Cut(header, " ")
 	if !found || !strings.EqualFold(scheme, "Bearer") || token == "" {
@@ -70,39 +75,41 @@
 	for _, known := range tokens {
 		knownSum, err := hex.DecodeString(known.TokenSHA256)
 		if err == nil && subtle.ConstantTimeCompare(sum[:], knownSum) == 1 && rank(known.Role) > rank(owner.role) {
-			owner = principal{name: string(known.Role) + "/" + known.TokenSHA256[:principalSumLength], role: known.Role}
+			owner = principal{name: string(known.Role) + "/" + known.TokenSHA256[:principalHashDigits], role: known.Role}
 		}
 	}
 	return owner, owner.role != ""
 }
 
-// authorize checks the token before the request body is read.
+// authorize checks the bearer token and its role before the request body is read.
 func (s *Server) authorize(next http.Handler) http.Handler {
 	writer := connect.NewErrorWriter()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		owner, known := authenticate(r.Header.Get("Authorization"), s.tokens())
 		switch {
 		case !known:
-			s.refuse(w, r, writer, connect.NewError(connect.CodeUnauthenticated, errors.New("the bearer token is missing or not known")))
-		case rank(owner.role) < rank(neededRole(r.URL.Path)):
-			s.refuse(w, r, writer, connect.NewError(connect.CodePermissionDenied, errors.New("role "+string(owner.role)+" does not permit this call, it needs "+string(neededRole(r.URL.Path)))))
+			s.reject(w, r, writer, connect.NewError(connect.CodeUnauthenticated, errors.New("the bearer token is missing or unknown")))
+		case rank(owner.role) < rank(requiredRole(r.URL.Path)):
+			s.reject(w, r, writer, connect.NewError(connect.CodePermissionDenied, errors.New("role "+string(owner.role)+" does not permit this call, which requires "+string(requiredRole(r.URL.Path)))))
 		default:
-			next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), principalKey{}, owner)))
+			next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), principalContextKey{}, owner)))
 		}
 	})
 }
 
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, writer *connect.ErrorWriter, cause *connect.Error) {
+// reject records and returns an authentication or authorization error.
+func (s *Server) reject(w http.ResponseWriter, r *http.Request, writer *connect.ErrorWriter, cause *connect.Error) {
 	s.recorder.Record(event.AdminRefused, event.Fields{Text: r.URL.Path + ": " + cause.Message()})
 	if writer.IsSupported(r) {
-		// A failure to write means that the client is gone.
+		// An error means that the client has closed the connection.
 		_ = writer.Write(w, r, cause)
 		return
 	}
 	http.Error(w, cause.Message(), http.StatusUnauthorized)
 }
 
+// publisherName returns the name of the principal that makes a request.
 func publisherName(ctx context.Context) string {
-	owner, _ := ctx.Value(principalKey{}).(principal)
+	owner, _ := ctx.Value(principalContextKey{}).(principal)
 	return owner.name
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -23,7 +23,8 @@
 	token   string
 }
 
-// NewClient returns a client for the API at a URL, with a bearer token.
+// NewClient returns a client for the API at a URL that authenticates with a bearer
+// token.
 func NewClient(httpClient connect.HTTPClient, url, token string) *Client {
 	return &Client{service: nutmegpierv1connect.NewAdminServiceClient(httpClient, url), token: token}
 }
@@ -38,13 +39,13 @@
 	return c.drain(ctx, &nutmegpierv1.DrainRequest{Server: string(server), Force: force})
 }
 
-// Events returns recorded events, oldest first.
+// Events returns the events that the instance keeps in memory, oldest first.
 func (c *Client) Events(ctx context.Context, filter event.Filter) ([]event.Event, error) {
 	return c.events(ctx, filter, false)
 }
 
-// ArchivedEvents returns the events in the snapshots of all instances, those
-// that have ended included.
+// ArchivedEvents returns the events in the archived snapshots of all instances,
+// including instances that have ended.
 func (c *Client) ArchivedEvents(ctx context.Context, filter event.Filter) ([]event.Event, error) {
 	return c.events(ctx, filter, true)
 }
@@ -71,8 +72,8 @@
 	return events, nil
 }
 
-// Publish publishes a sheet. Only Base, Comment, Content, DryRun and Force of
-// the request are used.
+// Publish publishes a sheet. Of the request it uses only Base, Comment, Content,
+// DryRun and Force.
 func (c *Client) Publish(ctx context.Context, request sheet.PublishRequest) (Publication, error) {
 	response, err := call(ctx, c, "publish sheet", !request.DryRun, c.service.PublishSheet, &nutmegpierv1.PublishSheetRequest{
 		BaseVersion: uint64(request.Base),
@@ -84,23 +85,23 @@
 	return publicationOf(response), err
 }
 
-// RestoreDataCentre brings a data centre back.
+// RestoreDataCentre puts a data centre back into service.
 func (c *Client) RestoreDataCentre(ctx context.Context, dataCentre fleet.DataCentre) (Publication, error) {
 	return c.restore(ctx, &nutmegpierv1.RestoreRequest{DataCentre: string(dataCentre)})
 }
 
-// RestoreServer brings a backend server back.
+// RestoreServer puts a backend server back into service.
 func (c *Client) RestoreServer(ctx context.Context, server fleet.ServerID) (Publication, error) {
 	return c.restore(ctx, &nutmegpierv1.RestoreRequest{Server: string(server)})
 }
 
-// Sheet returns a sheet version; zero means the one in force.
+// Sheet returns a sheet version. Zero means the newest version.
 func (c *Client) Sheet(ctx context.Context, version fleet.SheetVersion) (SheetVersion, error) {
 	response, err := call(ctx, c, "read sheet", false, c.service.GetSheet, &nutmegpierv1.GetSheetRequest{Version: uint64(version)})
 	return SheetVersion{Content: response.GetContent(), Version: fleet.SheetVersion(response.GetVersion())}, err
 }
 
-// Sheets returns the history of sheets, newest first.
+// Sheets returns the history of published sheets, newest first.
 func (c *Client) Sheets(ctx context.Context, limit int) ([]SheetSummary, error) {
 	const op = "list sheets"
 	response, err := call(ctx, c, op, false, c.service.ListSheets, &nutmegpierv1.ListSheetsRequest{Limit: uint32(max(limit, 0))})
@@ -123,7 +124,8 @@
 	return summaries, nil
 }
 
-// Status returns the state of the instance and what it knows of the others.
+// Status returns the state of the instance, and of the other instances as it knows
+// them.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	const op = "read status"
 	response, err := call(ctx, c, op, false, c.service.Status, &nutmegpierv1.StatusRequest{})
@@ -147,21 +149,24 @@
 	return publicationOf(response.GetPublication()), err
 }
 
-// call makes one call with the token. Changes says whether the call changes
-// something, so that a lost answer is an unknown outcome.
-func call[Request, Response any](ctx context.Context, c *Client, op string, changes bool, procedure func(context.Context, *connect.Request[Request]) (*connect.Response[Response], error), message *Request) (*Response, error) {
+// call calls a procedure with the bearer token. Mutates is true if the call changes
+// something. If the response to such a call is lost, the error has the kind
+// KindUnknownOutcome.
+func call[Request, Response any](ctx context.Context, c *Client, op string, mutates bool, procedure func(context.Context, *connect.Request[Request]) (*connect.Response[Response], error), message *Request) (*Response, error) {
 	request := connect.NewRequest(message)
 	request.Header().Set("Authorization", "Bearer "+c.token)
 	response, err := procedure(ctx, request)
 	if err != nil {
-		return nil, &Error{Err: fmt.Errorf("%s", sheet.Redact(err.Error())), Kind: kindOf(err, changes), Op: op}
+		return nil, &Error{Err: fmt.Errorf("%s", sheet.Redact(err.Error())), Kind: kindOf(err, mutates), Op: op}
 	}
 	return response.Msg, nil
 }
 
-func kindOf(err error, changes bool) Kind {
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
+// kindOf returns the kind of an error. If the connection could not be opened, the
+// call certainly had no effect.
+func kindOf(err error, mutates bool) Kind {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return KindUnavailable
 	}
 	switch connect.CodeOf(err) {
@@ -176,7 +181,7 @@
 	case connect.CodeUnauthenticated:
 		return KindUnauthenticated
 	}
-	if changes {
+	if mutates {
 		return KindUnknownOutcome
 	}
 	return KindUnavailable
--- a/operator/placement.go
+++ b/operator/drain.go
@@ -13,27 +13,28 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// emptySheet is edited when no sheet has been published yet.
+// emptySheet is the sheet that is edited if none has been published yet.
 const emptySheet = `{"Format": 1}`
 
-// inForce asks for the sheet in force.
-const inForce fleet.SheetVersion = 0
+// latestVersion requests the newest sheet that the instance knows.
+const latestVersion fleet.SheetVersion = 0
 
-// placement names a data centre or a backend server.
-type placement struct {
+// drainTarget is the data centre or the backend server that is drained or restored.
+// Exactly one of the fields is set.
+type drainTarget struct {
 	dataCentre fleet.DataCentre
 	server     fleet.ServerID
 }
 
-func (p placement) check() error {
+func (p drainTarget) validate() error {
 	if (p.dataCentre == "") == (p.server == "") {
-		return connect.NewError(connect.CodeInvalidArgument, errors.New("want either a data centre or a server"))
+		return connect.NewError(connect.CodeInvalidArgument, errors.New("exactly one of data centre and server must be set"))
 	}
 	return nil
 }
 
-// edit returns the sheet with the place in or out of service.
-func (p placement) edit(content string, inService bool) (string, error) {
+// edit returns the sheet with the target put into or taken out of service.
+func (p drainTarget) edit(content string, inService bool) (string, error) {
 	state := sheet.StateInService
 	if p.dataCentre != "" {
 		if !inService {
@@ -47,31 +48,33 @@
 	return sheet.SetServer(content, p.server, state)
 }
 
-func (p placement) fields(ctx context.Context) event.Fields {
-	text := "by " + publisherName(ctx)
+// eventFields returns the fields of the event that records the request.
+func (p drainTarget) eventFields(ctx context.Context) event.Fields {
+	text := "requested by " + publisherName(ctx)
 	if p.dataCentre != "" {
 		text = "data centre " + string(p.dataCentre) + " " + text
 	}
 	return event.Fields{Server: p.server, Text: text}
 }
 
-// place edits the sheet in force and publishes it against the version that was
-// read. A conflict means that another operator was faster; the edit is then
-// repeated on the version that the conflict names, which this instance may not
-// hold in force yet. It publishes also when the sheet in force reads
-// as wanted, because only a publication proves that it is the newest one.
-func (s *Server) place(ctx context.Context, target placement, inService, force bool) (*nutmegpierv1.PublishSheetResponse, error) {
-	if err := target.check(); err != nil {
+// setInService puts the target into or takes it out of service. It edits the newest
+// sheet and publishes it with the version that it read as the base. A conflict means
+// that another operator published in between. The edit is then repeated on the version
+// that the conflict names, which this instance may not use yet. The sheet is published
+// even if the edit changes nothing, because only a successful publication proves that
+// the sheet was the newest.
+func (s *Server) setInService(ctx context.Context, target drainTarget, inService, force bool) (*nutmegpierv1.PublishSheetResponse, error) {
+	if err := target.validate(); err != nil {
 		return nil, err
 	}
 	number, comment := event.DrainRequested, "drain "
 	if inService {
 		number, comment = event.RestoreRequested, "restore "
 	}
-	s.recorder.Record(number, target.fields(ctx))
+	s.recorder.Record(number, target.eventFields(ctx))
 	comment += cmp.Or(string(target.dataCentre), string(target.server))
 	var response *nutmegpierv1.PublishSheetResponse
-	version := inForce
+	version := latestVersion
 	for range maxDrainAttempts {
 		current, err := s.sheets.Sheet(ctx, version)
 		if err != nil {
--- a/operator/error.go
+++ b/operator/error.go
@@ -9,15 +9,18 @@
 const (
 	// KindDenied means that the token does not permit the call.
 	KindDenied Kind = "Denied"
-	// KindInvalid means that the request was not accepted as it is.
+	// KindInvalid means that the request is not valid or too large, or that the
+	// response cannot be parsed.
 	KindInvalid Kind = "Invalid"
-	// KindNotFound means that a sheet version does not exist.
+	// KindNotFound means that the sheet version does not exist, or that the instance
+	// does not support the call.
 	KindNotFound Kind = "NotFound"
-	// KindUnauthenticated means that the token is missing or not known.
+	// KindUnauthenticated means that the token is missing or unknown.
 	KindUnauthenticated Kind = "Unauthenticated"
-	// KindUnavailable means that the call did not take effect.
+	// KindUnavailable means that the call failed and changed nothing.
 	KindUnavailable Kind = "Unavailable"
-	// KindUnknownOutcome means that the call may have taken effect.
+	// KindUnknownOutcome means that the response was lost, so that the call may or
+	// may not have taken effect.
 	KindUnknownOutcome Kind = "UnknownOutcome"
 )
 
@@ -29,7 +32,7 @@
 	Op string
 }
 
-// Error returns operation, kind and cause.
+// Error returns the operation, the kind and the cause.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s: %v", e.Op, e.Kind, e.Err)
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -24,13 +24,14 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// store keeps sheets in memory and decides as the table does.
+// store is a Publisher and Sheets that keeps the sheets in memory.
 type store struct {
-	// beforePublish runs before a publication is decided.
+	// beforePublish runs at the start of each publication.
 	beforePublish func()
 	err           error
 	history       []operator.SheetSummary
-	// lag is the number of versions by which the sheet in force lags the head.
+	// lag is the number of versions by which the newest version that the instance
+	// returns lags behind the head.
 	lag     int
 	mu      sync.Mutex
 	outcome sheet.Outcome
@@ -96,7 +97,7 @@
 	Workspaces: []operator.WorkspaceStatus{{Admitted: 70, Rate: 200, Refused: 2, Share: 25, Workspace: "die-room"}},
 }
 
-// deployment is an administration API over HTTP with a token for each role.
+// deployment is an HTTP server for the administration API with a token for each role.
 type deployment struct {
 	recorder *event.Recorder
 	store    *store
@@ -139,8 +140,8 @@
 	return failed.Kind
 }
 
-// TestDrainKeepsRacingPublication guards against a drain that overwrites what
-// another operator published between its read and its write.
+// TestDrainKeepsRacingPublication guards against a drain that overwrites a sheet that
+// another operator published after the drain had read the previous one.
 func TestDrainKeepsRacingPublication(t *testing.T) {
 	d := deploy(t)
 	races := 2
@@ -173,7 +174,7 @@
 		d.store.sheets = append(d.store.sheets, operator.SheetVersion{Content: `{"Format": 1}`, Version: fleet.SheetVersion(len(d.store.sheets))})
 	}
 	if got, err = d.client(settings.RoleOperate).DrainServer(t.Context(), "s-1", false); err != nil || got.Outcome != sheet.OutcomeConflict {
-		t.Errorf("endless race: %+v, %v", got, err)
+		t.Errorf("drain that always conflicts: %+v, %v", got, err)
 	}
 	var audited []event.Name
 	for _, e := range d.recorder.Events(event.Filter{Limit: 7}) {
@@ -185,8 +186,8 @@
 	}
 }
 
-// TestDrainOnLaggingInstance guards against a drain that repeats its conflict
-// because the instance has not the newest sheet in force yet.
+// TestDrainOnLaggingInstance guards against a drain that conflicts in each attempt
+// because the instance does not use the newest sheet yet.
 func TestDrainOnLaggingInstance(t *testing.T) {
 	d := deploy(t)
 	for base := range fleet.SheetVersion(3) {
@@ -202,8 +203,9 @@
 	}
 }
 
-// TestErrorsSayWhetherItTookEffect guards against a lost answer that is
-// reported as a failure, and a certain failure that is reported as unknown.
+// TestErrorsSayWhetherItTookEffect guards against a lost response that is reported as
+// a call without effect, against a call without effect that is reported as unknown,
+// and against keys in errors.
 func TestErrorsSayWhetherItTookEffect(t *testing.T) {
 	d := deploy(t)
 	request := sheet.PublishRequest{Content: `{"Format": 1}`}
@@ -223,11 +225,11 @@
 	}
 	_, err := d.client(settings.RoleRead).Sheets(t.Context(), 1)
 	if err == nil || strings.Contains(err.Error(), "s3cr3t") {
-		t.Errorf("error holds a key: %v", err)
+		t.Errorf("error contains a key: %v", err)
 	}
 }
 
-// TestPlainHTTP guards against an API that needs more than HTTP with JSON.
+// TestPlainHTTP guards against an API that cannot be called with plain HTTP and JSON.
 func TestPlainHTTP(t *testing.T) {
 	d := deploy(t)
 	post := func(procedure, token, body string) (int, map[string]any) {
@@ -258,7 +260,7 @@
 	}
 }
 
-// TestReads guards against reads that lose fields on the way.
+// TestReads guards against fields that are lost in the conversion of responses.
 func TestReads(t *testing.T) {
 	d := deploy(t)
 	if _, err := d.client(settings.RolePublish).Publish(t.Context(), sheet.PublishRequest{Comment: "morning", Content: `{"Format": 1}`}); err != nil {
@@ -287,7 +289,8 @@
 	}
 }
 
-// TestRender guards against status tables without their rows.
+// TestRender guards against missing tables, rows and columns in the text form of the
+// status.
 func TestRender(t *testing.T) {
 	var out bytes.Buffer
 	if err := exampleStatus.Render(&out); err != nil {
@@ -315,8 +318,8 @@
 	}
 }
 
-// TestRoles guards against a token that permits more than its role, and
-// against calls without a token.
+// TestRoles guards against a token that permits more or less than its role, and
+// against calls that succeed with an unknown token.
 func TestRoles(t *testing.T) {
 	d := deploy(t)
 	for role, want := range map[settings.Role][]operator.Kind{
--- a/operator/server.go
+++ b/operator/server.go
@@ -1,5 +1,5 @@
-// Package operator speaks to operators: the administration API, its roles and
-// its client.
+// Package operator implements the administration API for operators: the server with
+// authentication and roles, and the client.
 package operator
 
 import (
@@ -25,33 +25,38 @@
 )
 
 const (
-	// maxDrainAttempts bounds the repeats of a drain whose base version was
-	// overtaken. A conflict means that another publication succeeded, so a few
-	// attempts suffice unless operators publish without pause.
+	// maxDrainAttempts is the maximum number of attempts of a drain or restore that
+	// conflicts with other publications. A conflict means that another publication
+	// succeeded, so a few attempts suffice unless operators publish without pause.
 	maxDrainAttempts = 5
-	// maxListed is the largest number of listed sheets.
-	maxListed = 1000
-	// maxRequestBytes leaves room for the JSON form of the largest sheet.
+	// maxListedSheets is the maximum number of sheets in a response of ListSheets.
+	maxListedSheets = 1000
+	// maxRequestBytes is the maximum size of a request. It suffices for the largest
+	// sheet encoded as a JSON string.
 	maxRequestBytes = 2*document.MaxBytes + 1<<16
-	// publicationIDBytes makes ids unique without agreement.
+	// publicationIDBytes is the number of random bytes in a publication ID. It makes
+	// IDs unique without coordination between instances.
 	publicationIDBytes = 16
 )
 
-// Publication is what became of a publication.
+// Publication is the result of a publication.
 type Publication struct {
-	// Changes lists the differences from the sheet in force, one a line.
+	// Changes lists the differences from the current sheet, one line for each.
 	Changes []string
 	Outcome sheet.Outcome
-	// Problems lists what is wrong with the sheet or unsafe in it.
+	// Problems lists the errors in the sheet, or the risks that it adds.
 	Problems []string
-	Version  fleet.SheetVersion
+	// Version is the version that was or would have been written, or the newest
+	// version if nothing was written.
+	Version fleet.SheetVersion
 }
 
 // Publisher publishes sheets.
 type Publisher interface {
-	// Publish publishes against the base version of the request. An error means
-	// that nothing was changed; a change that may have taken effect is
-	// sheet.OutcomeUnknown. A conflict states the version of the head row.
+	// Publish publishes a sheet if the base version of the request is still the
+	// newest. An error means that nothing was changed. If the change may have taken
+	// effect, the outcome is sheet.OutcomeUnknown and the error is nil. The result
+	// of a conflict has the newest version.
 	Publish(ctx context.Context, request sheet.PublishRequest) (Publication, error)
 }
 
@@ -66,7 +71,7 @@
 	Version fleet.SheetVersion
 }
 
-// SheetSummary is an entry of the history of sheets.
+// SheetSummary is an entry in the history of published sheets.
 type SheetSummary struct {
 	Comment     string
 	PublishedAt time.Time
@@ -74,45 +79,45 @@
 	Version     fleet.SheetVersion
 }
 
-// ErrNoSheet is returned by Sheets for a version that does not exist.
-var ErrNoSheet = errors.New("no such sheet version")
+// ErrNoSheet is the error of Sheets.Sheet for a version that does not exist.
+var ErrNoSheet = errors.New("the sheet version does not exist")
 
 // Sheets reads published sheets.
 type Sheets interface {
 	// List returns the newest sheets, newest first.
 	List(ctx context.Context, limit int) ([]SheetSummary, error)
-	// Sheet returns a version; zero means the one in force. Before the first
-	// publication that is version zero with no content. The error is ErrNoSheet
-	// when the version does not exist. A version that the instance does not
-	// hold is read from the table.
+	// Sheet returns a sheet version. Zero means the newest version, which is zero
+	// with empty content before the first publication. If the version does not
+	// exist, the error is ErrNoSheet. A version that the instance does not hold is
+	// read from the platform's table.
 	Sheet(ctx context.Context, version fleet.SheetVersion) (SheetVersion, error)
 }
 
-// StatusSource gives the state of the instance.
+// StatusSource provides the state of the instance.
 type StatusSource interface {
 	Status() Status
 }
 
-// Archive gives the events in the snapshots of all instances.
+// Archive provides the events in the archived snapshots of all instances.
 type Archive interface {
 	Archived(ctx context.Context, filter event.Filter) ([]event.Event, error)
 }
 
-// Timeline gives recorded events.
+// Timeline provides the events that the instance keeps in memory.
 type Timeline interface {
 	Events(filter event.Filter) []event.Event
 }
 
 // Config are what a Server needs. All but Archive are required.
 type Config struct {
-	// Archive is nil where no snapshots are kept.
+	// Archive is nil if events are not archived.
 	Archive   Archive
 	Publisher Publisher
 	Recorder  Recorder
 	Sheets    Sheets
 	Status    StatusSource
 	Timeline  Timeline
-	// Tokens returns the bearer tokens that are accepted now.
+	// Tokens returns the bearer tokens that are currently accepted.
 	Tokens func() []settings.Token
 }
 
@@ -135,20 +140,20 @@
 )
 
 // New returns the administration API of an instance.
-func New(parts Config) *Server {
+func New(config Config) *Server {
 	return &Server{
-		archive:   parts.Archive,
-		publisher: parts.Publisher,
+		archive:   config.Archive,
+		publisher: config.Publisher,
 		random:    rand.Reader,
-		recorder:  parts.Recorder,
-		sheets:    parts.Sheets,
-		status:    parts.Status,
-		timeline:  parts.Timeline,
-		tokens:    parts.Tokens,
+		recorder:  config.Recorder,
+		sheets:    config.Sheets,
+		status:    config.Status,
+		timeline:  config.Timeline,
+		tokens:    config.Tokens,
 	}
 }
 
-// Handler returns the HTTP handler of the API. Each request needs a token.
+// Handler returns the HTTP handler of the API. Each request requires a bearer token.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	path, handler := nutmegpierv1connect.NewAdminServiceHandler(s, connect.WithReadMaxBytes(maxRequestBytes))
@@ -158,8 +163,8 @@
 
 // Drain takes a data centre or a backend server out of service.
 func (s *Server) Drain(ctx context.Context, request *connect.Request[nutmegpierv1.DrainRequest]) (*connect.Response[nutmegpierv1.DrainResponse], error) {
-	target := placement{dataCentre: fleet.DataCentre(request.Msg.GetDataCentre()), server: fleet.ServerID(request.Msg.GetServer())}
-	publication, err := s.place(ctx, target, false, request.Msg.GetForce())
+	target := drainTarget{dataCentre: fleet.DataCentre(request.Msg.GetDataCentre()), server: fleet.ServerID(request.Msg.GetServer())}
+	publication, err := s.setInService(ctx, target, false, request.Msg.GetForce())
 	if err != nil {
 		return nil, err
 	}
@@ -175,11 +180,11 @@
 	return connect.NewResponse(&nutmegpierv1.GetSheetResponse{Content: found.Content, Version: uint64(found.Version)}), nil
 }
 
-// ListSheets returns the history of sheets, newest first.
+// ListSheets returns the history of published sheets, newest first.
 func (s *Server) ListSheets(ctx context.Context, request *connect.Request[nutmegpierv1.ListSheetsRequest]) (*connect.Response[nutmegpierv1.ListSheetsResponse], error) {
-	limit := min(int(request.Msg.GetLimit()), maxListed)
+	limit := min(int(request.Msg.GetLimit()), maxListedSheets)
 	if limit == 0 {
-		limit = maxListed
+		limit = maxListedSheets
 	}
 	summaries, err := s.sheets.List(ctx, limit)
 	if err != nil {
@@ -197,7 +202,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// PublishSheet publishes a sheet against the version that the operator saw.
+// PublishSheet publishes a sheet if its base version is still the newest.
 func (s *Server) PublishSheet(ctx context.Context, request *connect.Request[nutmegpierv1.PublishSheetRequest]) (*connect.Response[nutmegpierv1.PublishSheetResponse], error) {
 	publication, err := s.publish(ctx, sheet.PublishRequest{
 		Base:    fleet.SheetVersion(request.Msg.GetBaseVersion()),
@@ -212,17 +217,18 @@
 	return connect.NewResponse(publication), nil
 }
 
-// Restore brings a data centre or a backend server back.
+// Restore puts a data centre or a backend server back into service.
 func (s *Server) Restore(ctx context.Context, request *connect.Request[nutmegpierv1.RestoreRequest]) (*connect.Response[nutmegpierv1.RestoreResponse], error) {
-	target := placement{dataCentre: fleet.DataCentre(request.Msg.GetDataCentre()), server: fleet.ServerID(request.Msg.GetServer())}
-	publication, err := s.place(ctx, target, true, false)
+	target := drainTarget{dataCentre: fleet.DataCentre(request.Msg.GetDataCentre()), server: fleet.ServerID(request.Msg.GetServer())}
+	publication, err := s.setInService(ctx, target, true, false)
 	if err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&nutmegpierv1.RestoreResponse{Publication: publication}), nil
 }
 
-// Status returns the state of the instance and what it knows of the others.
+// Status returns the state of the instance, and of the other instances as it knows
+// them.
 func (s *Server) Status(context.Context, *connect.Request[nutmegpierv1.StatusRequest]) (*connect.Response[nutmegpierv1.StatusResponse], error) {
 	content, err := json.Marshal(s.status.Status())
 	if err != nil {
@@ -231,7 +237,8 @@
 	return connect.NewResponse(&nutmegpierv1.StatusResponse{Content: string(content)}), nil
 }
 
-// Timeline returns recorded events, oldest first.
+// Timeline returns the events in memory, or the archived events of all instances,
+// oldest first.
 func (s *Server) Timeline(ctx context.Context, request *connect.Request[nutmegpierv1.TimelineRequest]) (*connect.Response[nutmegpierv1.TimelineResponse], error) {
 	response := &nutmegpierv1.TimelineResponse{}
 	filter := event.Filter{
@@ -244,7 +251,7 @@
 	events := s.timeline.Events(filter)
 	if request.Msg.GetArchived() {
 		if s.archive == nil {
-			return nil, connect.NewError(connect.CodeUnimplemented, errors.New("this instance keeps no snapshots"))
+			return nil, connect.NewError(connect.CodeUnimplemented, errors.New("this instance does not archive events"))
 		}
 		archived, err := s.archive.Archived(ctx, filter)
 		if err != nil {
@@ -262,20 +269,21 @@
 	return connect.NewResponse(response), nil
 }
 
-// audit records what became of a publication.
+// audit records the result of a publication as an event.
 func (s *Server) audit(request sheet.PublishRequest, publication Publication, err error) {
 	number := event.SheetNotPublished
-	text := fmt.Sprintf("%s by %s on base %d: %s version %d", request.Publication, request.Publisher, request.Base, publication.Outcome, publication.Version)
+	text := fmt.Sprintf("publication %s by %s based on version %d: outcome %s, version %d", request.Publication, request.Publisher, request.Base, publication.Outcome, publication.Version)
 	switch {
 	case err != nil:
-		text = fmt.Sprintf("%s by %s on base %d: %v", request.Publication, request.Publisher, request.Base, err)
+		text = fmt.Sprintf("publication %s by %s based on version %d: %v", request.Publication, request.Publisher, request.Base, err)
 	case publication.Outcome == sheet.OutcomeAccepted, publication.Outcome == sheet.OutcomeStored:
 		number = event.SheetPublished
 	}
 	s.recorder.Record(number, event.Fields{Text: text})
 }
 
-// publish gives the request its publication id and publisher.
+// publish publishes a sheet and records the result. It sets the publication ID and
+// the publisher of the request. Dry runs are recorded only if they fail.
 func (s *Server) publish(ctx context.Context, request sheet.PublishRequest) (*nutmegpierv1.PublishSheetResponse, error) {
 	id := make([]byte, publicationIDBytes)
 	if _, err := io.ReadFull(s.random, id); err != nil {
@@ -298,6 +306,7 @@
 	}, nil
 }
 
+// readError converts an error of Sheets to an error of the API.
 func readError(err error) error {
 	if errors.Is(err, ErrNoSheet) {
 		return connect.NewError(connect.CodeNotFound, err)
--- a/operator/status.go
+++ b/operator/status.go
@@ -10,7 +10,7 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Status is the state of an instance and what it knows of the others.
+// Status is the state of an instance, and of the other instances as it knows them.
 type Status struct {
 	DataCentre fleet.DataCentre
 	Drains     []DrainStatus
@@ -23,7 +23,7 @@
 	Pools            []PoolStatus
 	RosterGeneration fleet.RosterGeneration
 	SheetVersion     fleet.SheetVersion
-	// Valid is true when the instance may serve.
+	// Valid is true if the instance has a validity lease and so may serve requests.
 	Valid      bool
 	Workspaces []WorkspaceStatus
 }
@@ -33,11 +33,12 @@
 	// Kind is "DataCentre" or "Server".
 	Kind string
 	Name string
-	// Remaining is the work in progress there, as far as the instance knows.
+	// Remaining is the number of connections of this instance to servers there that
+	// are in use.
 	Remaining int
 }
 
-// GroupStatus is a database group.
+// GroupStatus is a database group, as seen by this instance.
 type GroupStatus struct {
 	Group   fleet.GroupID
 	Primary fleet.ServerID
@@ -53,49 +54,66 @@
 	Instance         fleet.InstanceID
 	RosterGeneration fleet.RosterGeneration
 	SheetVersion     fleet.SheetVersion
-	// SilenceMs is the time since the instance was last heard, in milliseconds.
+	// SilenceMs is the time since the last message from the instance, in
+	// milliseconds.
 	SilenceMs int64
 	// State is "Live", "Leaving" or "Suspected".
 	State string
 }
 
-// PoolStatus is the pool of one backend server on this instance.
+// PoolStatus is the connection pool of this instance for one backend server.
 type PoolStatus struct {
-	Busy    int
-	Idle    int
+	// Busy is the number of connections in use.
+	Busy int
+	Idle int
+	// Opening is the number of connections that are being opened.
 	Opening int
-	// Permits is the number of connections that the instance may hold.
+	// Permits is the maximum number of connections that the instance may open.
 	Permits int
-	Pinned  int
-	Server  fleet.ServerID
+	// Pinned is the number of connections that are pinned to a session. Instances do
+	// not set it, so it is always zero.
+	Pinned int
+	Server fleet.ServerID
+	// Waiting is the number of requests that wait for a connection.
 	Waiting int
 }
 
 // ServerStatus is a backend server, as seen by this instance.
 type ServerStatus struct {
-	Applied         fleet.Position
+	// Applied is the position up to which the server has applied the log.
+	Applied fleet.Position
+	// ConnectionLimit is the maximum number of session connections that the server
+	// accepts. Zero means unknown.
 	ConnectionLimit int
 	Connections     int
 	DataCentre      fleet.DataCentre
-	// Lag is the number of log entries that the server has not applied.
-	Lag    uint64
+	// Lag is the number of entries in the log of the primary that the server has not
+	// applied yet.
+	Lag uint64
+	// Log is the position of the end of the server's log.
 	Log    fleet.Position
 	Role   string
 	Server fleet.ServerID
-	// SilenceMs is the time since the server last answered, in milliseconds.
+	// SilenceMs is the time since the last response of the server, in milliseconds.
+	// -1 means that it never responded.
 	SilenceMs int64
 	Term      fleet.Term
 }
 
-// WorkspaceStatus is a workspace on this instance.
+// WorkspaceStatus is the rate limiting of a workspace on this instance.
 type WorkspaceStatus struct {
+	// Admitted is the number of admitted requests.
 	Admitted uint64
-	// Rate is the workspace's rate over all instances, in requests a second.
-	Rate    float64
+	// Rate is the rate limit over all instances, in requests per second.
+	Rate float64
+	// Refused is the number of refused requests.
 	Refused uint64
-	// RefusedInRate counts the refusals while the workspace was inside its rate.
+	// RefusedInRate is the number of requests that were refused although the
+	// workspace did not exceed its rate limit. Instances do not set it, so it is
+	// always zero.
 	RefusedInRate uint64
-	// Share is the part of the rate that this instance holds, in requests a second.
+	// Share is the part of the rate limit that this instance holds, in requests per
+	// second.
 	Share     float64
 	Workspace fleet.WorkspaceID
 }
@@ -107,7 +125,7 @@
 	table(&text, "INSTANCE\tDATA CENTRE\tSTATE\tSHEET\tROSTER\tSILENCE\tADDRESS", s.Instances, func(i InstanceStatus) string {
 		return fmt.Sprintf("%s\t%s\t%s\t%d\t%d\t%d ms\t%s", i.Instance, i.DataCentre, i.State, i.SheetVersion, i.RosterGeneration, i.SilenceMs, i.Address)
 	})
-	table(&text, "DATABASE\tSERVER\tDATA CENTRE\tROLE\tTERM\tLOG\tAPPLIED\tLAG\tCONNECTIONS\tSILENCE", groupRows(s.Groups), renderServer)
+	table(&text, "DATABASE\tSERVER\tDATA CENTRE\tROLE\tTERM\tLOG\tAPPLIED\tLAG\tCONNECTIONS\tSILENCE", serverRows(s.Groups), renderServerRow)
 	table(&text, "POOL\tBUSY\tIDLE\tOPENING\tPINNED\tPERMITS\tWAITING", s.Pools, func(p PoolStatus) string {
 		return fmt.Sprintf("%s\t%d\t%d\t%d\t%d\t%d\t%d", p.Server, p.Busy, p.Idle, p.Opening, p.Pinned, p.Permits, p.Waiting)
 	})
@@ -121,7 +139,7 @@
 	return err
 }
 
-// MarshalJSON returns the JSON form, in which lists without entries are [].
+// MarshalJSON encodes the status as JSON with empty lists as [] and not as null.
 func (s Status) MarshalJSON() ([]byte, error) {
 	type plain Status
 	p := plain(s)
@@ -133,27 +151,29 @@
 	return json.Marshal(p)
 }
 
-type groupRow struct {
+// serverRow is a row of the table of backend servers.
+type serverRow struct {
 	group  fleet.GroupID
 	server ServerStatus
 }
 
-func groupRows(groups []GroupStatus) []groupRow {
-	var rows []groupRow
+// serverRows returns the rows for the servers of all groups.
+func serverRows(groups []GroupStatus) []serverRow {
+	var rows []serverRow
 	for _, group := range groups {
 		for _, server := range group.Servers {
-			rows = append(rows, groupRow{group: group.Group, server: server})
+			rows = append(rows, serverRow{group: group.Group, server: server})
 		}
 	}
 	return rows
 }
 
-func renderServer(row groupRow) string {
+func renderServerRow(row serverRow) string {
 	s := row.server
 	return fmt.Sprintf("%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d/%d\t%d ms", row.group, s.Server, s.DataCentre, s.Role, s.Term, s.Log, s.Applied, s.Lag, s.Connections, s.ConnectionLimit, s.SilenceMs)
 }
 
-// table writes a table with its heading, or nothing when it has no rows.
+// table writes a table with a heading. It writes nothing if there are no rows.
 func table[T any](out io.Writer, heading string, rows []T, render func(T) string) {
 	if len(rows) == 0 {
 		return
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -12,10 +12,10 @@
 // Kind classifies the errors of this package.
 type Kind string
 
-// KindInvalid means that the settings have problems.
+// KindInvalid means that the settings are not valid.
 const KindInvalid Kind = "Invalid"
 
-// Error reports all problems of a settings file.
+// Error lists all problems of a settings file.
 type Error struct {
 	Kind Kind
 	// Op is the operation that failed.
@@ -23,7 +23,7 @@
 	Problems []document.Problem
 }
 
-// Error returns one line for each problem.
+// Error returns the operation and one line for each problem.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, problem := range e.Problems {
@@ -32,8 +32,9 @@
 	return fmt.Sprintf("%s: %d problems\n%s", e.Op, len(e.Problems), strings.Join(lines, "\n"))
 }
 
-// Parse reads a settings file. Missing settings get their defaults. The error
-// is an *Error with all problems. The file name is used only in problems.
+// Parse parses and validates a settings file. Missing settings get their defaults.
+// The error is an *Error that lists all problems. The file name is used only in
+// problems.
 func Parse(file string, content []byte) (Settings, error) {
 	var parsed Settings
 	d := document.Decode(file, content, rules(), &parsed)
@@ -47,9 +48,10 @@
 	return parsed, nil
 }
 
+// checkAddresses reports addresses that are used twice.
 func checkAddresses(d *document.Document, s Settings) {
 	used := map[string]string{}
-	claim := func(path, address string) {
+	checkUnused := func(path, address string) {
 		if address == "" || isPortZero(address) {
 			return
 		}
@@ -59,23 +61,25 @@
 		}
 		used[address] = path
 	}
-	claim("Listen.Admin", s.Listen.Admin)
-	claim("Listen.Callers", s.Listen.Callers)
-	claim("Listen.Peers", s.Listen.Peers)
+	checkUnused("Listen.Admin", s.Listen.Admin)
+	checkUnused("Listen.Callers", s.Listen.Callers)
+	checkUnused("Listen.Peers", s.Listen.Peers)
 	for i, group := range s.Groups {
 		for j, server := range group.Servers {
-			claim(fmt.Sprintf("Groups[%d].Servers[%d].Address", i, j), server.Address)
+			checkUnused(fmt.Sprintf("Groups[%d].Servers[%d].Address", i, j), server.Address)
 		}
 	}
 }
 
-// isPortZero reports whether the system picks the port, so that equal
-// addresses do not collide.
+// isPortZero reports whether the operating system chooses the port. Equal addresses
+// do not conflict then.
 func isPortZero(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
 	return err == nil && parsed.Port() == 0
 }
 
+// checkGroups reports duplicate IDs, and connection budgets that do not suffice for
+// one connection to each server.
 func checkGroups(d *document.Document, groups []Group) {
 	groupPaths := map[fleet.GroupID]string{}
 	serverPaths := map[fleet.ServerID]string{}
@@ -91,17 +95,20 @@
 	}
 }
 
-func checkUnique[T ~string](d *document.Document, paths map[T]string, id T, path, noun string) {
+// checkUnique reports an ID that is already in paths, and adds it otherwise. Kind is
+// "group" or "server". Missing IDs are reported elsewhere.
+func checkUnique[T ~string](d *document.Document, paths map[T]string, id T, path, kind string) {
 	if id == "" {
 		return
 	}
 	if other, taken := paths[id]; taken {
-		d.Add(path, fmt.Sprintf("%s %s is already defined at %s", noun, id, other))
+		d.Add(path, fmt.Sprintf("%s %s is already defined at %s", kind, id, other))
 		return
 	}
 	paths[id] = path
 }
 
+// checkTLS reports TLS settings that are incomplete, and cleartext keys without TLS.
 func checkTLS(d *document.Document, tls TLS) {
 	if (tls.Callers.CertFile == "") != (tls.Callers.KeyFile == "") {
 		d.Add("TLS.Callers", "CertFile and KeyFile must be set together")
@@ -110,12 +117,13 @@
 		d.Add("TLS.AllowCleartextKeys", "cleartext keys need TLS for callers: TLS.Callers.CertFile is empty")
 	}
 	peers := tls.Peers
-	all := peers.CAFile != "" && peers.CertFile != "" && peers.KeyFile != ""
-	if !all && peers != (PeerTLS{}) {
+	complete := peers.CAFile != "" && peers.CertFile != "" && peers.KeyFile != ""
+	if !complete && peers != (PeerTLS{}) {
 		d.Add("TLS.Peers", "CAFile, CertFile and KeyFile must be set together")
 	}
 }
 
+// checkTimes reports durations that contradict each other.
 func checkTimes(d *document.Document, s Settings) {
 	detection := s.Detection
 	if detection.SuspectInterval > 0 && detection.DetectTime > 0 && detection.SuspectInterval >= detection.DetectTime {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings file of an instance: JSON with comments,
-// with Pascal-case keys.
+// Package settings defines, parses and compares the settings of an instance. The
+// settings file is JSON with comments. Its keys are the names of the Go fields. The
+// function Table describes each setting.
 package settings
 
 import (
@@ -8,17 +9,18 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Role is what a bearer token of the administration API permits. Each role
-// includes the ones before it.
+// Role defines which calls of the administration API a bearer token permits. Each
+// role includes the previous ones.
 type Role string
 
-// Roles in rising order.
+// Roles, in order of increasing permissions.
 const (
-	// RoleRead permits to read status, sheets and timeline.
+	// RoleRead permits reading the status, the sheets and the timeline.
 	RoleRead Role = "Read"
-	// RoleOperate also permits to drain and restore.
+	// RoleOperate also permits draining and restoring data centres and backend
+	// servers.
 	RoleOperate Role = "Operate"
-	// RolePublish also permits to publish sheets.
+	// RolePublish also permits publishing sheets.
 	RolePublish Role = "Publish"
 )
 
@@ -44,10 +46,11 @@
 	Tokens []Token
 }
 
-// Token is a bearer token of the administration API, known by its sum only.
+// Token is a bearer token of the administration API. Only the digest of the token is
+// stored.
 type Token struct {
 	Role Role
-	// TokenSHA256 is the SHA-256 sum of the token in hexadecimal.
+	// TokenSHA256 is the SHA-256 digest of the token in hexadecimal.
 	TokenSHA256 string
 }
 
@@ -55,26 +58,29 @@
 type Backend struct {
 	AnswerTimeout  time.Duration
 	ConnectTimeout time.Duration
-	// MaxOpenings bounds the connections that are being opened to one server.
+	// MaxOpenings is the maximum number of connections that are being opened to one
+	// server at the same time.
 	MaxOpenings  int
 	PasswordFile string
 	User         string
 }
 
-// Detection holds the settings of failure detection.
+// Detection holds the settings for the detection of failed primaries.
 type Detection struct {
 	DetectTime      time.Duration
 	PollInterval    time.Duration
 	SuspectInterval time.Duration
 }
 
-// Group is a database group with its servers.
+// Group is a database group, that is, a primary and its replicas.
 type Group struct {
-	// Connections is the connection budget of the database over all instances.
+	// Connections is the connection budget of the group over all instances.
 	Connections int
 	Group       fleet.GroupID
 	Servers     []Server
-	// Slots is the number of statements that one server runs at a time.
+	// Slots is the maximum number of connections to one server that this instance
+	// uses at the same time, each for one statement at a time. Zero means all
+	// connections that it may open.
 	Slots int
 }
 
@@ -85,7 +91,7 @@
 	Server     fleet.ServerID
 }
 
-// Limits holds the bounds on callers.
+// Limits holds the limits for callers.
 type Limits struct {
 	MaxMessageBytes int
 	MaxSessions     int
@@ -105,28 +111,31 @@
 	Level  string
 }
 
-// Platform holds the settings of the platform's service.
+// Platform holds the settings for calls to the platform's service.
 type Platform struct {
 	Timeout time.Duration
 	URL     string
 }
 
-// TLS holds certificates. Files are read again when they change.
+// TLS holds the TLS settings. Certificate and key files are reloaded when they
+// change.
 type TLS struct {
-	// AllowCleartextKeys accepts keys in cleartext over TLS.
+	// AllowCleartextKeys makes callers that connect with TLS send their key in
+	// cleartext, in place of SCRAM authentication.
 	AllowCleartextKeys bool
 	Callers            CallerTLS
 	Peers              PeerTLS
 }
 
-// CallerTLS holds the certificate shown to callers. Both empty means no TLS.
+// CallerTLS holds the certificate that is presented to callers. If both fields are
+// empty, TLS is disabled.
 type CallerTLS struct {
 	CertFile string
 	KeyFile  string
 }
 
-// PeerTLS holds the certificates for mutual TLS between instances. All empty
-// means no TLS.
+// PeerTLS holds the certificates for mutual TLS between instances. If all fields are
+// empty, TLS is disabled.
 type PeerTLS struct {
 	CAFile   string
 	CertFile string
@@ -135,11 +144,11 @@
 
 // Timeline holds the settings of the event timeline.
 type Timeline struct {
-	// Capacity is the number of events kept.
+	// Capacity is the number of events that are kept in memory.
 	Capacity int
 }
 
-// Timeouts holds the time bounds of an instance.
+// Timeouts holds the time limits of an instance.
 type Timeouts struct {
 	CommitBound       time.Duration
 	FreshWait         time.Duration
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -42,7 +42,8 @@
 	return lines
 }
 
-// TestDiffMarksRestarts guards against a reload that silently ignores a change.
+// TestDiffMarksRestarts guards against a reload that ignores a change without
+// reporting that a restart is needed, and against secret values in the diff.
 func TestDiffMarksRestarts(t *testing.T) {
 	before, err := settings.Parse("f", []byte(strings.Replace(example(t), `"Backend": {`, `"Admin": {"Tokens": [{"Role": "Read", "TokenSHA256": "`+strings.Repeat("ab", 32)+`"}]}, "Backend": {`, 1)))
 	if err != nil {
@@ -62,7 +63,8 @@
 	}
 }
 
-// TestParseDefaults guards against settings that silently stay zero.
+// TestParseDefaults guards against missing settings that stay zero in place of their
+// defaults.
 func TestParseDefaults(t *testing.T) {
 	got, err := settings.Parse("f", []byte(example(t)))
 	if err != nil {
@@ -76,8 +78,8 @@
 	}
 }
 
-// TestParseReportsAllProblems guards against a check that stops at the first
-// mistake, and against problems without their place.
+// TestParseReportsAllProblems guards against a validation that stops at the first
+// problem, and against problems without their position.
 func TestParseReportsAllProblems(t *testing.T) {
 	content := strings.NewReplacer(
 		`"Instance": "pier-1"`, `"Instnace": "pier-1"`,
@@ -104,8 +106,8 @@
 	}
 }
 
-// TestParseSyntax guards against syntax errors and deep nesting that are
-// reported without a place or that exhaust the stack.
+// TestParseSyntax guards against syntax errors and deep nesting that are not reported
+// or that exhaust the stack.
 func TestParseSyntax(t *testing.T) {
 	deep := strings.Repeat("[", 1<<20)
 	for _, content := range []string{"", "{", `{"Instance": }`, "[]", deep, "/*\"*/" + deep, "//\"\n" + deep} {
@@ -115,7 +117,8 @@
 	}
 }
 
-// TestReferencePage guards against a reference page that lags the table.
+// TestReferencePage guards against a reference page that differs from the table of
+// settings. With the flag -update it writes the page.
 func TestReferencePage(t *testing.T) {
 	if *update {
 		if err := os.WriteFile("../docs/settings.md", []byte(settings.Reference()), 0o644); err != nil {
@@ -131,8 +134,8 @@
 	}
 }
 
-// TestTableCoversSettings guards against a setting without default, range and
-// description.
+// TestTableCoversSettings guards against a setting that is missing from the table and
+// so has no default, range and description.
 func TestTableCoversSettings(t *testing.T) {
 	var want, got []string
 	collect("", reflect.TypeFor[settings.Settings](), &want)
@@ -147,6 +150,7 @@
 	}
 }
 
+// collect appends the key paths of all settings in a struct.
 func collect(path string, structure reflect.Type, paths *[]string) {
 	for field := range structure.Fields() {
 		child := strings.TrimPrefix(path+"."+field.Name, ".")
@@ -162,8 +166,8 @@
 	}
 }
 
-// FuzzParse guards against input that makes the parser panic or accept what
-// it then cannot compare.
+// FuzzParse guards against panics in the parser, and against accepted settings that
+// differ from themselves in Diff.
 func FuzzParse(f *testing.F) {
 	f.Add(example(f))
 	f.Add(`{"Groups": [null, {"Servers": {}}], "Groups": 1}`)
--- a/sheet/diff.go
+++ b/sheet/diff.go
@@ -9,17 +9,19 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Change is one value that differs between two sheets.
+// Change is one value that differs between two sheets. Both values are in text
+// form.
 type Change struct {
 	// New is empty when the value was removed.
 	New string
 	// Old is empty when the value was added.
 	Old string
-	// Path names entries by their ids, for example "Workspaces[die-room].Rate".
+	// Path is the key path with entries identified by their IDs, for example
+	// "Workspaces[die-room].Rate".
 	Path string
 }
 
-// String returns the change as one line.
+// String returns the change as one line in the style of a diff.
 func (c Change) String() string {
 	switch {
 	case c.Old == "":
@@ -31,20 +33,20 @@
 	}
 }
 
-// Diff returns the changes from one sheet to the other, ordered by path. The
-// order of entries in a sheet does not matter.
+// Diff returns the differences between two sheets, ordered by path. It ignores
+// the order of the entries.
 func Diff(before, after Sheet) []Change {
-	old, changed := flatten(before), flatten(after)
+	oldValues, newValues := flatten(before), flatten(after)
 	var changes []Change
-	for _, path := range paths(old, changed) {
-		if old[path] != changed[path] {
-			changes = append(changes, Change{New: changed[path], Old: old[path], Path: path})
+	for _, path := range mergePaths(oldValues, newValues) {
+		if oldValues[path] != newValues[path] {
+			changes = append(changes, Change{New: newValues[path], Old: oldValues[path], Path: path})
 		}
 	}
 	return changes
 }
 
-// DiffLines returns the changes as lines.
+// DiffLines returns the differences between two sheets as text, one line for each.
 func DiffLines(before, after Sheet) []string {
 	var lines []string
 	for _, change := range Diff(before, after) {
@@ -53,7 +55,7 @@
 	return lines
 }
 
-// flatten returns the values of a sheet by path.
+// flatten returns the compared values of a sheet, keyed by path.
 func flatten(s Sheet) map[string]string {
 	values := map[string]string{}
 	for _, d := range s.DataCentres {
@@ -90,16 +92,18 @@
 	}
 }
 
+// joinSorted returns the IDs in sorted order, separated by spaces.
 func joinSorted(ids []fleet.GroupID) string {
-	texts := make([]string, 0, len(ids))
+	names := make([]string, 0, len(ids))
 	for _, id := range ids {
-		texts = append(texts, string(id))
+		names = append(names, string(id))
 	}
-	slices.Sort(texts)
-	return strings.Join(texts, " ")
+	slices.Sort(names)
+	return strings.Join(names, " ")
 }
 
-func paths(before, after map[string]string) []string {
+// mergePaths returns the keys of both maps, sorted and without duplicates.
+func mergePaths(before, after map[string]string) []string {
 	var all []string
 	for path := range before {
 		all = append(all, path)
--- a/sheet/edit.go
+++ b/sheet/edit.go
@@ -8,19 +8,21 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// SetDataCentre returns the sheet with the state of a data centre changed. The
-// rest of the sheet, with its comments, is kept.
+// SetDataCentre returns the sheet with the state of a data centre set. The rest of
+// the sheet keeps its values and comments, but the text is reformatted.
 func SetDataCentre(content string, dataCentre fleet.DataCentre, state State) (string, error) {
 	return setState(content, "DataCentres", "DataCentre", string(dataCentre), state)
 }
 
-// SetServer returns the sheet with the state of a backend server changed. The
-// rest of the sheet, with its comments, is kept.
+// SetServer returns the sheet with the state of a backend server set. The rest of the
+// sheet keeps its values and comments, but the text is reformatted.
 func SetServer(content string, server fleet.ServerID, state State) (string, error) {
 	return setState(content, "Servers", "Server", string(server), state)
 }
 
-func setState(content, list, idName, id string, state State) (string, error) {
+// setState sets the state of the list entry whose member idName has the given ID.
+// It adds the list and the entry if they do not exist.
+func setState(content, listName, idName, id string, state State) (string, error) {
 	const op = "edit sheet"
 	if _, err := Parse("sheet", []byte(content)); err != nil {
 		return "", err
@@ -31,19 +33,20 @@
 	}
 	object, isObject := root.Value.(*hujson.Object)
 	if !isObject {
-		return "", &Error{Err: fmt.Errorf("sheet is not an object"), Kind: KindInvalid, Op: op}
+		return "", &Error{Err: fmt.Errorf("the sheet is not a JSON object"), Kind: KindInvalid, Op: op}
 	}
-	entry := findEntry(findList(object, list), idName, id)
+	entry := findOrAddEntry(findOrAddList(object, listName), idName, id)
 	setMember(entry, "State", hujson.String(string(state)))
 	root.Format()
 	return string(root.Pack()), nil
 }
 
-// findEntry returns the entry of a list with an id, which it adds when missing.
-func findEntry(list *hujson.Array, idName, id string) *hujson.Object {
+// findOrAddEntry returns the list entry with the given ID. It adds the entry if it
+// does not exist.
+func findOrAddEntry(list *hujson.Array, idName, id string) *hujson.Object {
 	for _, element := range list.Elements {
 		object, isObject := element.Value.(*hujson.Object)
-		if isObject && memberText(object, idName) == id {
+		if isObject && memberString(object, idName) == id {
 			return object
 		}
 	}
@@ -53,15 +56,16 @@
 	return object
 }
 
-// findList returns a list of the sheet, which it adds when missing.
-func findList(object *hujson.Object, name string) *hujson.Array {
+// findOrAddList returns the list with the given name. It adds the list to the
+// object if it does not exist.
+func findOrAddList(object *hujson.Object, listName string) *hujson.Array {
 	for _, member := range object.Members {
-		if array, isArray := member.Value.Value.(*hujson.Array); isArray && memberName(member) == name {
+		if array, isArray := member.Value.Value.(*hujson.Array); isArray && memberName(member) == listName {
 			return array
 		}
 	}
 	array := &hujson.Array{}
-	object.Members = append(object.Members, newMember(name, array))
+	object.Members = append(object.Members, newMember(listName, array))
 	return array
 }
 
@@ -69,7 +73,9 @@
 	return member.Name.Value.(hujson.Literal).String()
 }
 
-func memberText(object *hujson.Object, name string) string {
+// memberString returns the string value of an object member, or an empty string if
+// the object has no such member.
+func memberString(object *hujson.Object, name string) string {
 	for _, member := range object.Members {
 		if literal, isLiteral := member.Value.Value.(hujson.Literal); isLiteral && memberName(member) == name {
 			return literal.String()
@@ -78,6 +84,7 @@
 	return ""
 }
 
+// newMember returns an object member that starts on a new line.
 func newMember(name string, value hujson.ValueTrimmed) hujson.ObjectMember {
 	return hujson.ObjectMember{
 		Name:  hujson.Value{BeforeExtra: hujson.Extra("\n"), Value: hujson.String(name)},
@@ -85,6 +92,7 @@
 	}
 }
 
+// setMember replaces the value of an object member, or adds the member.
 func setMember(object *hujson.Object, name string, value hujson.Literal) {
 	for i, member := range object.Members {
 		if memberName(member) == name {
--- a/sheet/error.go
+++ b/sheet/error.go
@@ -12,26 +12,26 @@
 
 // Kinds of errors.
 const (
-	// KindInvalid means that a sheet has problems.
+	// KindInvalid means that a sheet or a record is not valid.
 	KindInvalid Kind = "Invalid"
-	// KindRandom means that the random source failed.
+	// KindRandom means that reading from the random source failed.
 	KindRandom Kind = "Random"
-	// KindSalt means that a salt or iteration count cannot be used.
+	// KindSalt means that a salt or an iteration count is not valid.
 	KindSalt Kind = "Salt"
 )
 
 // Error is the error type of this package.
 type Error struct {
-	// Err is the cause; nil when Problems say it all.
+	// Err is the cause. It is nil if Problems is set.
 	Err  error
 	Kind Kind
 	// Op is the operation that failed.
 	Op string
-	// Problems lists the faults of a sheet.
+	// Problems lists the errors found in a sheet.
 	Problems []document.Problem
 }
 
-// Error returns the operation and cause, then one line for each problem.
+// Error returns the operation and either the cause or one line for each problem.
 func (e *Error) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("%s: %v", e.Op, e.Err)
--- a/sheet/index.go
+++ b/sheet/index.go
@@ -6,8 +6,9 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Index answers the look-ups that each request makes, without a search or
-// parsing. It is built once for each sheet and never changes.
+// Index provides the values of a sheet that instances look up for each request. It
+// stores them in maps and in parsed form, so that a lookup neither searches a list
+// nor parses. It is built once for each sheet and is immutable.
 type Index struct {
 	dataCentresOut map[fleet.DataCentre]bool
 	leaving        map[fleet.ServerID]bool
@@ -16,12 +17,15 @@
 	workspaces     map[fleet.WorkspaceID]*indexedWorkspace
 }
 
-// indexedKey says how long a key is accepted. A zero notAfter means that it
-// does not expire. Verifiers are not part of the index: authentication is rare
-// and uses Sheet.Credentials.
+// indexedKey is the expiry of a key. The verifier of the key is not part of the
+// index, because authentication is rare and uses Sheet.Credentials.
 type indexedKey struct {
+	// notAfter is the time from which the key is refused. Zero means that it does
+	// not expire.
 	notAfter time.Time
-	refused  bool
+	// invalid is true if the time of the key cannot be parsed. The key is then
+	// refused.
+	invalid bool
 }
 
 type indexedWorkspace struct {
@@ -30,7 +34,7 @@
 	limits    Limits
 }
 
-// NewIndex returns the index of a sheet that Parse accepted.
+// NewIndex returns the index of a sheet that was returned by Parse.
 func NewIndex(s Sheet) *Index {
 	index := &Index{
 		dataCentresOut: map[fleet.DataCentre]bool{},
@@ -55,32 +59,36 @@
 	return index
 }
 
-// AcceptsKey reports whether a key id of the workspace is accepted at a time.
+// AcceptsKey reports whether the workspace has a key with this ID that has not
+// expired at the time now. Instances use it to check open sessions again after each
+// change of the sheet.
 func (i *Index) AcceptsKey(workspace fleet.WorkspaceID, keyID string, now time.Time) bool {
 	w, known := i.workspaces[workspace]
 	if !known {
 		return false
 	}
 	key, known := w.keys[keyID]
-	return known && key.accepted(now)
+	return known && key.isAccepted(now)
 }
 
-// IsInService reports whether a data centre takes new work.
+// IsInService reports whether a data centre gets new work. Data centres that are
+// not in the sheet do.
 func (i *Index) IsInService(dataCentre fleet.DataCentre) bool {
 	return !i.dataCentresOut[dataCentre]
 }
 
-// IsLeaving reports whether a backend server gets no new work.
+// IsLeaving reports whether a backend server is being drained and gets no new work.
 func (i *Index) IsLeaving(server fleet.ServerID) bool {
 	return i.leaving[server]
 }
 
-// IsOpenToAll reports whether each authenticated workspace may read a database.
+// IsOpenToAll reports whether every authenticated workspace may read a database.
 func (i *Index) IsOpenToAll(database fleet.GroupID) bool {
 	return i.openToAll[database]
 }
 
-// Limits returns the limits of a workspace. It reports false for an unknown one.
+// Limits returns the limits of a workspace. The result is false if the workspace is
+// not in the sheet.
 func (i *Index) Limits(workspace fleet.WorkspaceID) (Limits, bool) {
 	w, known := i.workspaces[workspace]
 	if !known {
@@ -95,23 +103,23 @@
 	return known && w.databases[database]
 }
 
-// Route returns the route of a database.
+// Route returns the route of a database. The result is false if the sheet has none.
 func (i *Index) Route(database fleet.GroupID) (Route, bool) {
 	route, known := i.routes[database]
 	return route, known
 }
 
-func (k indexedKey) accepted(now time.Time) bool {
-	return !k.refused && (k.notAfter.IsZero() || now.Before(k.notAfter))
+func (k indexedKey) isAccepted(now time.Time) bool {
+	return !k.invalid && (k.notAfter.IsZero() || now.Before(k.notAfter))
 }
 
-// indexKey parses the time of a key. A time that cannot be read refuses the key.
+// indexKey parses the expiry of a key. A key whose time cannot be parsed is refused.
 func indexKey(key Key) indexedKey {
 	if key.NotAfter == "" {
 		return indexedKey{}
 	}
 	notAfter, err := time.Parse(time.RFC3339, key.NotAfter)
-	return indexedKey{notAfter: notAfter, refused: err != nil || notAfter.IsZero()}
+	return indexedKey{notAfter: notAfter, invalid: err != nil || notAfter.IsZero()}
 }
 
 func indexWorkspace(w Workspace) *indexedWorkspace {
--- a/sheet/lookup.go
+++ b/sheet/lookup.go
@@ -8,7 +8,7 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Credentials are what authentication needs of a workspace.
+// Credentials holds the SCRAM parameters and the key verifiers of a workspace.
 type Credentials struct {
 	Iterations int
 	Salt       []byte
@@ -22,24 +22,26 @@
 	StoredKey []byte
 }
 
-// Limits are the rate limits and weight of a workspace.
+// Limits holds the rate limit and the weight of a workspace.
 type Limits struct {
-	// Burst is in requests.
+	// Burst is the burst size of the rate limit, in requests.
 	Burst float64
-	// Rate is in requests a second.
-	Rate   float64
+	// Rate is in requests per second.
+	Rate float64
+	// Weight is the relative share of the workspace when requests wait for a
+	// connection.
 	Weight int
 }
 
-// AcceptsKey reports whether a key id of the workspace is still accepted at a
-// time. Open sessions are checked with it after each change of the sheet.
+// AcceptsKey reports whether the workspace has a key with this ID that has not
+// expired at the time now.
 func (s Sheet) AcceptsKey(workspace fleet.WorkspaceID, keyID string, now time.Time) bool {
 	w, known := s.workspace(workspace)
 	return known && slices.ContainsFunc(w.Keys, func(key Key) bool { return key.KeyID == keyID && !key.expired(now) })
 }
 
-// Connections returns the overriding connection budget of a database, and
-// whether there is one.
+// Connections returns the connection budget that the sheet sets for a database. The
+// result is false if the budget of the settings applies.
 func (s Sheet) Connections(database fleet.GroupID) (int, bool) {
 	for _, d := range s.Databases {
 		if d.Database == database && d.Connections > 0 {
@@ -49,27 +51,29 @@
 	return 0, false
 }
 
-// Credentials returns the verifiers of a workspace that are not expired. It
-// reports false for an unknown workspace.
+// Credentials returns the SCRAM parameters of a workspace and the verifiers of its
+// keys that have not expired. The result is false if the workspace is not in the
+// sheet.
 func (s Sheet) Credentials(workspace fleet.WorkspaceID, now time.Time) (Credentials, bool) {
 	w, known := s.workspace(workspace)
 	if !known {
 		return Credentials{}, false
 	}
-	credentials := Credentials{Iterations: w.Iterations, Salt: decode(w.Salt)}
+	credentials := Credentials{Iterations: w.Iterations, Salt: decodeBase64(w.Salt)}
 	for _, key := range w.Keys {
 		if !key.expired(now) {
 			credentials.Verifiers = append(credentials.Verifiers, Verifier{
 				KeyID:     key.KeyID,
-				ServerKey: decode(key.ServerKey),
-				StoredKey: decode(key.StoredKey),
+				ServerKey: decodeBase64(key.ServerKey),
+				StoredKey: decodeBase64(key.StoredKey),
 			})
 		}
 	}
 	return credentials, true
 }
 
-// IsInService reports whether a data centre takes new work.
+// IsInService reports whether a data centre gets new work. Data centres that are
+// not in the sheet do.
 func (s Sheet) IsInService(dataCentre fleet.DataCentre) bool {
 	for _, d := range s.DataCentres {
 		if d.DataCentre == dataCentre {
@@ -79,7 +83,7 @@
 	return true
 }
 
-// IsLeaving reports whether a backend server gets no new work.
+// IsLeaving reports whether a backend server is being drained and gets no new work.
 func (s Sheet) IsLeaving(server fleet.ServerID) bool {
 	for _, entry := range s.Servers {
 		if entry.Server == server {
@@ -89,12 +93,13 @@
 	return false
 }
 
-// IsOpenToAll reports whether each authenticated workspace may read a database.
+// IsOpenToAll reports whether every authenticated workspace may read a database.
 func (s Sheet) IsOpenToAll(database fleet.GroupID) bool {
 	return slices.ContainsFunc(s.Routes, func(route Route) bool { return route.Database == database && route.OpenToAll })
 }
 
-// Limits returns the limits of a workspace. It reports false for an unknown one.
+// Limits returns the limits of a workspace. The result is false if the workspace is
+// not in the sheet.
 func (s Sheet) Limits(workspace fleet.WorkspaceID) (Limits, bool) {
 	w, known := s.workspace(workspace)
 	return Limits{Burst: w.Burst, Rate: w.Rate, Weight: w.Weight}, known
@@ -115,8 +120,8 @@
 	return Workspace{}, false
 }
 
-// expired reports whether the key is past its time. A time that cannot be read
-// counts as past.
+// expired reports whether the key has expired. A key whose time cannot be parsed
+// counts as expired.
 func (k Key) expired(now time.Time) bool {
 	if k.NotAfter == "" {
 		return false
@@ -125,8 +130,9 @@
 	return err != nil || !now.Before(notAfter)
 }
 
-// decode returns nil for text that is not base64. Parse refuses such sheets.
-func decode(text string) []byte {
+// decodeBase64 returns the decoded text, or nil if it is not valid base64. Parse
+// rejects sheets with such values.
+func decodeBase64(text string) []byte {
 	decoded, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
 		return nil
--- a/sheet/parse.go
+++ b/sheet/parse.go
@@ -6,26 +6,29 @@
 	"github.com/nutmegpier/nutmegpier/document"
 )
 
-// Largest accepted numbers of a sheet. They bound the arithmetic of the
-// limits and the cost of an authentication.
+// Limits of the numbers in a sheet. They keep calculations with rates and budgets in
+// a safe range and limit the cost of an authentication.
 const (
 	maxConnections = 100_000
 	maxIterations  = 1_000_000
-	// maxKeyProblems bounds the report of keys in a sheet.
+	// maxKeyProblems is the maximum number of reported keys that were put into a
+	// sheet by mistake.
 	maxKeyProblems = 100
-	// maxPriority is far above the few classes of requests in use.
+	// maxPriority is far above the number of priority classes in use, which is
+	// small.
 	maxPriority = 1000
 	maxRate     = 10_000_000
-	// maxRouteMilliseconds bounds ages and timeouts of routes to a day.
+	// maxRouteMilliseconds limits the ages and timeouts in a sheet to one day.
 	maxRouteMilliseconds = 24 * 60 * 60 * 1000
-	// maxSyncReplicas is above the size of any group.
+	// maxSyncReplicas is larger than any group.
 	maxSyncReplicas = 100
 	maxWeight       = 1000
-	// minIterations is the smallest count that SCRAM-SHA-256 (RFC 7677) recommends.
+	// minIterations is the minimum iteration count that RFC 7677 recommends for
+	// SCRAM-SHA-256.
 	minIterations = 4096
 )
 
-// Rules returns the accepted values of each key of a sheet, ordered by key path.
+// Rules returns the rules for the values of a sheet, ordered by key path.
 func Rules() []document.Rule {
 	return []document.Rule{
 		{Path: "DataCentres[].DataCentre", Format: document.FormatName, Required: true},
@@ -61,17 +64,17 @@
 	}
 }
 
-// Parse reads a sheet. The error is an *Error with all problems; keys that
-// were put into the sheet by mistake are redacted in it. The file name is used
-// only in problems.
+// Parse parses and validates a sheet. The error is an *Error that lists all
+// problems. It does not contain keys that were put into the sheet by mistake. The
+// file name is used only in problems.
 func Parse(file string, content []byte) (Sheet, error) {
 	var parsed Sheet
 	d := document.Decode(file, content, Rules(), &parsed)
-	for _, fault := range Validate(parsed) {
-		d.Add(fault.Path, fault.Message)
+	for _, violation := range Validate(parsed) {
+		d.Add(violation.Path, violation.Message)
 	}
-	for _, found := range keyPattern.FindAllIndex(content, maxKeyProblems) {
-		d.AddAt(found[0], "this looks like a key; only its verifier belongs in a sheet")
+	for _, keyRange := range keyPattern.FindAllIndex(content, maxKeyProblems) {
+		d.AddAt(keyRange[0], "this looks like a key; only its verifier belongs in a sheet")
 	}
 	if problems := d.Problems(); len(problems) > 0 {
 		return Sheet{}, &Error{Kind: KindInvalid, Op: "parse sheet", Problems: redactProblems(problems)}
@@ -79,56 +82,60 @@
 	return parsed, nil
 }
 
-// Violation is a contradiction inside a sheet.
+// Violation is an error in a sheet that the rules for single values do not find,
+// such as a duplicate ID.
 type Violation struct {
 	Message string
 	// Path is the key path, for example "Workspaces[1].Keys[0].KeyID".
 	Path string
 }
 
-// Validate returns the contradictions inside a sheet whose values are each accepted.
+// Validate returns the violations in a sheet, such as duplicate IDs. It does not
+// check the values against Rules.
 func Validate(s Sheet) []Violation {
-	c := &checker{seen: map[string]bool{}}
+	v := &validator{seen: map[string]bool{}}
 	for i, dataCentre := range s.DataCentres {
-		unique(c, "data centre", dataCentre.DataCentre, fmt.Sprintf("DataCentres[%d].DataCentre", i))
+		checkUnique(v, "data centre", dataCentre.DataCentre, fmt.Sprintf("DataCentres[%d].DataCentre", i))
 	}
 	for i, database := range s.Databases {
-		unique(c, "database", database.Database, fmt.Sprintf("Databases[%d].Database", i))
+		checkUnique(v, "database", database.Database, fmt.Sprintf("Databases[%d].Database", i))
 	}
 	for i, route := range s.Routes {
-		unique(c, "route for database", route.Database, fmt.Sprintf("Routes[%d].Database", i))
+		checkUnique(v, "route for database", route.Database, fmt.Sprintf("Routes[%d].Database", i))
 	}
 	for i, server := range s.Servers {
-		unique(c, "server", server.Server, fmt.Sprintf("Servers[%d].Server", i))
+		checkUnique(v, "server", server.Server, fmt.Sprintf("Servers[%d].Server", i))
 	}
 	for i, workspace := range s.Workspaces {
-		c.checkWorkspace(workspace, fmt.Sprintf("Workspaces[%d]", i))
+		v.checkWorkspace(workspace, fmt.Sprintf("Workspaces[%d]", i))
 	}
-	return c.faults
+	return v.violations
 }
 
-type checker struct {
-	faults []Violation
-	seen   map[string]bool
+type validator struct {
+	violations []Violation
+	// seen holds the entries checked so far, for example "server orders-1".
+	seen map[string]bool
 }
 
-func (c *checker) add(path, message string) {
-	c.faults = append(c.faults, Violation{Message: message, Path: path})
+func (v *validator) add(path, message string) {
+	v.violations = append(v.violations, Violation{Message: message, Path: path})
 }
 
-func (c *checker) checkWorkspace(w Workspace, path string) {
-	unique(c, "workspace", w.Workspace, path+".Workspace")
+func (v *validator) checkWorkspace(w Workspace, path string) {
+	checkUnique(v, "workspace", w.Workspace, path+".Workspace")
 	for i, database := range w.Databases {
-		unique(c, "database of workspace "+string(w.Workspace), database, fmt.Sprintf("%s.Databases[%d]", path, i))
+		checkUnique(v, "database of workspace "+string(w.Workspace), database, fmt.Sprintf("%s.Databases[%d]", path, i))
 	}
 	for i, key := range w.Keys {
-		unique(c, "key of workspace "+string(w.Workspace), key.KeyID, fmt.Sprintf("%s.Keys[%d].KeyID", path, i))
+		checkUnique(v, "key of workspace "+string(w.Workspace), key.KeyID, fmt.Sprintf("%s.Keys[%d].KeyID", path, i))
 	}
 	if w.Rate > 0 && w.Burst < 1 {
-		c.add(path+".Burst", "burst below 1 with a rate above 0 admits no request")
+		v.add(path+".Burst", "burst below 1 with a rate above 0 admits no request")
 	}
 }
 
+// redactProblems returns the problems with all keys replaced.
 func redactProblems(problems []document.Problem) []document.Problem {
 	redacted := make([]document.Problem, 0, len(problems))
 	for _, problem := range problems {
@@ -140,13 +147,15 @@
 	return redacted
 }
 
-func unique[T ~string](c *checker, noun string, id T, path string) {
+// checkUnique adds a violation if an entry of the same kind has the same ID. Kind
+// describes the entry, for example "server". Missing IDs are reported elsewhere.
+func checkUnique[T ~string](v *validator, kind string, id T, path string) {
 	if id == "" {
 		return
 	}
-	entry := noun + " " + string(id)
-	if c.seen[entry] {
-		c.add(path, entry+" is listed twice")
+	entry := kind + " " + string(id)
+	if v.seen[entry] {
+		v.add(path, entry+" is listed twice")
 	}
-	c.seen[entry] = true
+	v.seen[entry] = true
 }
--- a/sheet/record.go
+++ b/sheet/record.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// Record is a published sheet as the platform's table and the instances hold it.
+// Record is a published sheet as it is stored in the platform's table and in the
+// instances.
 type Record struct {
 	Comment string
 	// Content is the sheet as the operator wrote it.
 	Content     string
 	Publication PublicationID
 	PublishedAt time.Time
-	// Publisher says who published the sheet.
+	// Publisher identifies the operator who published the sheet.
 	Publisher string
 }
 
--- a/sheet/routing.go
+++ b/sheet/routing.go
@@ -8,29 +8,32 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Routing answers which route a database has, which workspace a key belongs to
-// and which limits hold, for instances that place requests by route. It is
-// built once for each sheet and never changes.
+// Routing provides the values of a sheet that the gateway package looks up: routes
+// by database, workspaces by the digest of their keys, and limits by workspace. It
+// is built once for each sheet and is immutable. Index is the counterpart for
+// instances that serve PostgreSQL callers.
 type Routing struct {
 	// Version is the version of the sheet.
 	Version fleet.SheetVersion
 
-	dataCentresOut  map[fleet.DataCentre]bool
-	databases       map[fleet.GroupID]Database
-	keys            map[[sha256.Size]byte]fleet.WorkspaceID
+	dataCentresOut map[fleet.DataCentre]bool
+	databases      map[fleet.GroupID]Database
+	// ownerByDigest holds the workspace of each key. It is empty for a key that
+	// several workspaces list.
+	ownerByDigest   map[[sha256.Size]byte]fleet.WorkspaceID
 	limits          map[fleet.WorkspaceID]Limits
 	routes          map[fleet.GroupID]Route
 	transactionIdle time.Duration
 }
 
-// NewRouting returns the routing of a sheet. Keys without a digest are left
-// out. Where two workspaces list the same key, it belongs to neither.
+// NewRouting returns the routing of a sheet. It ignores keys without a valid digest.
+// A key that two workspaces list belongs to neither of them.
 func NewRouting(version fleet.SheetVersion, s Sheet) *Routing {
 	r := &Routing{
 		Version:         version,
 		dataCentresOut:  map[fleet.DataCentre]bool{},
 		databases:       map[fleet.GroupID]Database{},
-		keys:            map[[sha256.Size]byte]fleet.WorkspaceID{},
+		ownerByDigest:   map[[sha256.Size]byte]fleet.WorkspaceID{},
 		limits:          make(map[fleet.WorkspaceID]Limits, len(s.Workspaces)),
 		routes:          make(map[fleet.GroupID]Route, len(s.Routes)),
 		transactionIdle: s.TransactionIdle.Duration(),
@@ -56,32 +59,32 @@
 func (r *Routing) addWorkspace(w Workspace) {
 	r.limits[w.Workspace] = Limits{Burst: w.Burst, Rate: w.Rate, Weight: w.Weight}
 	for _, key := range w.Keys {
-		digest, err := base64.StdEncoding.DecodeString(key.Digest)
-		if err != nil || len(digest) != sha256.Size {
+		decoded, err := base64.StdEncoding.DecodeString(key.Digest)
+		if err != nil || len(decoded) != sha256.Size {
 			continue
 		}
-		sum := [sha256.Size]byte(digest)
-		if owner, known := r.keys[sum]; known && owner != w.Workspace {
-			r.keys[sum] = ""
+		digest := [sha256.Size]byte(decoded)
+		if owner, known := r.ownerByDigest[digest]; known && owner != w.Workspace {
+			r.ownerByDigest[digest] = ""
 			continue
 		}
-		r.keys[sum] = w.Workspace
+		r.ownerByDigest[digest] = w.Workspace
 	}
 }
 
-// Database returns what the sheet says of a group. The zero value means that
-// the settings apply.
+// Database returns the values that the sheet sets for a group. A zero value means
+// that the sheet sets none.
 func (r *Routing) Database(group fleet.GroupID) Database {
 	return r.databases[group]
 }
 
-// Digest returns the digest of a random key as it stands in a sheet.
+// Digest returns the digest of a key for Key.Digest.
 func Digest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return base64.StdEncoding.EncodeToString(sum[:])
 }
 
-// Groups returns the groups that some route leads to.
+// Groups returns the groups that serve at least one route.
 func (r *Routing) Groups() map[fleet.GroupID]bool {
 	groups := map[fleet.GroupID]bool{}
 	for _, route := range r.routes {
@@ -90,29 +93,32 @@
 	return groups
 }
 
-// IsInService reports whether a data centre takes new work.
+// IsInService reports whether a data centre gets new work. Data centres that are
+// not in the sheet do.
 func (r *Routing) IsInService(dataCentre fleet.DataCentre) bool {
 	return !r.dataCentresOut[dataCentre]
 }
 
-// Limits returns the limits of all workspaces. The map must not be changed.
+// Limits returns the limits of all workspaces. The caller must not modify the map.
 func (r *Routing) Limits() map[fleet.WorkspaceID]Limits {
 	return r.limits
 }
 
-// Owner returns the workspace that a key belongs to.
-func (r *Routing) Owner(key [sha256.Size]byte) (fleet.WorkspaceID, bool) {
-	owner := r.keys[key]
+// Owner returns the workspace of the key with the SHA-256 digest. The result is
+// false if the key is unknown or several workspaces list it.
+func (r *Routing) Owner(digest [sha256.Size]byte) (fleet.WorkspaceID, bool) {
+	owner := r.ownerByDigest[digest]
 	return owner, owner != ""
 }
 
-// Route returns the route of a database.
+// Route returns the route of a database. The result is false if the sheet has none.
 func (r *Routing) Route(database fleet.GroupID) (Route, bool) {
 	route, known := r.routes[database]
 	return route, known
 }
 
-// TransactionIdle is the time after which an idle transaction is ended, or zero.
+// TransactionIdle returns the time after which an idle transaction is ended, or
+// zero if the sheet does not set it.
 func (r *Routing) TransactionIdle() time.Duration {
 	return r.transactionIdle
 }
--- a/sheet/sheet.go
+++ b/sheet/sheet.go
@@ -1,5 +1,8 @@
-// Package sheet holds the operators' sheet: its format, checks, differences,
-// key verifiers and the decisions on publishing it.
+// Package sheet defines the sheet, which is the configuration of the whole
+// deployment that operators publish at runtime: workspaces with their limits and
+// keys, routes, and the data centres and servers out of service. The package parses,
+// validates, compares and edits sheets, generates keys, and decides whether a sheet
+// may be published.
 package sheet
 
 import (
@@ -11,38 +14,42 @@
 // FormatVersion is the version of the sheet format that this package reads.
 const FormatVersion = 1
 
-// State says whether a data centre or backend server takes new work.
+// State is the service state of a data centre or a backend server.
 type State string
 
 // States of data centres and backend servers.
 const (
-	// StateInService takes new work.
+	// StateInService means that the data centre or server gets new work.
 	StateInService State = "InService"
-	// StateLeaving is a backend server that gets no new work.
+	// StateLeaving means that the backend server is being drained and gets no new
+	// work.
 	StateLeaving State = "Leaving"
-	// StateOut is a data centre that gets no new work.
+	// StateOut means that the data centre is out of service and gets no new work.
 	StateOut State = "Out"
 )
 
-// Consistency says how recent the log must be that a read of a route runs on.
+// Consistency defines which commits a read on a route may miss.
 type Consistency string
 
-// Kinds of consistency.
+// Consistency levels of a route.
 const (
-	// ConsistencyBoundedAge lets a read miss commits younger than the route's
-	// MaxAge.
+	// ConsistencyBoundedAge means that a read may miss commits that are younger
+	// than the route's MaxAge.
 	ConsistencyBoundedAge Consistency = "BoundedAge"
-	// ConsistencyPrimary lets a read miss no commit.
+	// ConsistencyPrimary means that a read misses no commit. It runs on the
+	// primary.
 	ConsistencyPrimary Consistency = "Primary"
-	// ConsistencyReadYourWrites lets a read miss commits of other sessions
-	// that are younger than the route's MaxAge, and none of its own session.
+	// ConsistencyReadYourWrites means that a read may miss commits of other
+	// sessions that are younger than the route's MaxAge, but no commit of its own
+	// session.
 	ConsistencyReadYourWrites Consistency = "ReadYourWrites"
 )
 
-// Milliseconds is a span of time on a sheet.
+// Milliseconds is a duration in a sheet, which is written as a number of
+// milliseconds.
 type Milliseconds int64
 
-// Duration returns the span.
+// Duration converts the value to a time.Duration.
 func (m Milliseconds) Duration() time.Duration {
 	return time.Duration(m) * time.Millisecond
 }
@@ -54,55 +61,59 @@
 	Format      int
 	Routes      []Route  `json:",omitempty"`
 	Servers     []Server `json:",omitempty"`
-	// TransactionIdle ends a transaction that its caller leaves idle for
-	// longer; zero means the bound of the settings.
+	// TransactionIdle is the time after which a transaction is ended if its caller
+	// sends no request. Zero means that the value in the settings applies.
 	TransactionIdle Milliseconds `json:",omitempty"`
 	Workspaces      []Workspace  `json:",omitempty"`
 }
 
-// DataCentre says whether a data centre is in service. Data centres that are
-// not listed are in service.
+// DataCentre is the service state of a data centre. Data centres that are not
+// listed are in service.
 type DataCentre struct {
 	DataCentre fleet.DataCentre
 	State      State
 }
 
-// Database overrides settings of a database.
+// Database overrides the settings of a database.
 type Database struct {
-	// ColdRate is the number of requests a second that a backend server gets
-	// over all instances until it is warm; zero means no bound.
+	// ColdRate is the maximum number of requests per second, over all instances,
+	// that a backend server gets while it is cold, that is, slow after its start.
+	// Zero means no limit.
 	ColdRate float64 `json:",omitempty"`
-	// Connections is the connection budget over all instances; zero means the
-	// budget of the settings.
+	// Connections is the connection budget over all instances. Zero means that the
+	// budget in the settings applies.
 	Connections int
 	Database    fleet.GroupID
-	// SyncReplicas is the number of replicas that hold each acknowledged
-	// commit, by the group's own replication.
+	// SyncReplicas is the number of replicas that must hold a commit before it is
+	// acknowledged. The replication of the group guarantees this, not the proxy.
 	SyncReplicas int `json:",omitempty"`
 }
 
-// Route says which group serves a database, how recent its reads are, and who
-// may use it besides the workspaces that list it.
+// Route defines which group serves a database, the consistency, priority and
+// timeouts of its requests, and whether all workspaces may read it.
 type Route struct {
-	// Consistency is that of the reads; empty means ReadYourWrites.
+	// Consistency is the consistency of reads. Empty means ReadYourWrites.
 	Consistency Consistency `json:",omitempty"`
 	Database    fleet.GroupID
-	// Group serves the database; empty means the group of the same name.
+	// Group is the group that serves the database. Empty means the group with the
+	// name of the database.
 	Group fleet.GroupID `json:",omitempty"`
-	// MaxAge is the age from which on a read misses no commit of others.
+	// MaxAge is the age from which on a commit of another session must be visible
+	// to a read.
 	MaxAge Milliseconds `json:",omitempty"`
-	// OpenToAll lets each authenticated workspace read the database.
+	// OpenToAll lets every authenticated workspace read the database, in addition
+	// to the workspaces that list it.
 	OpenToAll bool
-	// Priority orders waiting requests; zero is the highest.
+	// Priority is the priority of waiting requests. Zero is the highest.
 	Priority int `json:",omitempty"`
-	// StatementTimeout bounds one statement; zero means no bound.
+	// StatementTimeout limits the time of one statement. Zero means no limit.
 	StatementTimeout Milliseconds `json:",omitempty"`
-	// TargetLatency is the time in which a request should be answered.
+	// TargetLatency is the latency that a request should not exceed.
 	TargetLatency Milliseconds `json:",omitempty"`
 }
 
-// Server says whether a backend server takes new work. Servers that are not
-// listed are in service.
+// Server is the service state of a backend server. Servers that are not listed are
+// in service.
 type Server struct {
 	Server fleet.ServerID
 	State  State
@@ -110,33 +121,36 @@
 
 // Workspace is one workspace with its limits and keys.
 type Workspace struct {
-	// Burst is the number of requests above the rate that are admitted at once.
+	// Burst is the burst size of the rate limit: the number of requests above the
+	// rate that are admitted at once.
 	Burst float64
-	// Databases lists the databases that the workspace may use.
+	// Databases lists the databases that the workspace may read and write.
 	Databases []fleet.GroupID `json:",omitempty"`
-	// Iterations is the SCRAM iteration count of all keys.
+	// Iterations is the SCRAM iteration count of all keys of the workspace.
 	Iterations int
 	Keys       []Key `json:",omitempty"`
-	// Rate is in requests a second.
+	// Rate is the rate limit over all instances, in requests per second.
 	Rate float64
-	// Salt is the SCRAM salt of all keys, in base64.
+	// Salt is the SCRAM salt of all keys of the workspace, in base64.
 	Salt string
-	// Weight is the workspace's part of a scarce connection, relative to others.
+	// Weight is the relative share of the workspace when requests of several
+	// workspaces wait for a connection.
 	Weight    int
 	Workspace fleet.WorkspaceID
 }
 
-// Key is the SCRAM-SHA-256 verifier of a key. The key cannot be derived from it.
+// Key is the SCRAM-SHA-256 verifier of a key. The key itself cannot be derived from
+// it.
 type Key struct {
-	// Digest is the SHA-256 sum of a random key in base64, for callers that
-	// send the key itself; empty means that only the verifier is known.
+	// Digest is the SHA-256 digest of the key in base64. It authenticates callers
+	// that send the key itself. It is empty if only the verifier is known.
 	Digest string `json:",omitempty"`
 	KeyID  string
-	// NotAfter is the time in RFC 3339 form from which the key is refused;
-	// empty means never.
+	// NotAfter is the expiry time of the key in RFC 3339 format. From this time on
+	// the key is refused. Empty means that it does not expire.
 	NotAfter string `json:",omitempty"`
-	// ServerKey is in base64.
+	// ServerKey is the SCRAM server key in base64.
 	ServerKey string
-	// StoredKey is in base64.
+	// StoredKey is the SCRAM stored key in base64.
 	StoredKey string
 }
--- a/sheet/sheet_test.go
+++ b/sheet/sheet_test.go
@@ -37,13 +37,14 @@
 	return parsed
 }
 
-// TestDecidePublish guards against a lost update between racing operators, a
-// second write of one publication, a conflict reported for one that took
-// effect before another, and unsafe sheets that nobody forced.
+// TestDecidePublish guards against a lost update when two operators publish
+// concurrently, a publication that is written twice, a conflict reported for a
+// publication that took effect before a later one, and sheets with new risks that
+// are published without Force.
 func TestDecidePublish(t *testing.T) {
 	content := example(t)
 	current := parse(t, content)
-	stopped := strings.Replace(content, `"Rate": 200`, `"Rate": 0`, 1)
+	zeroRate := strings.Replace(content, `"Rate": 200`, `"Rate": 0`, 1)
 	usage := sheet.Deployment{BusyWorkspaces: []fleet.WorkspaceID{"die-room"}}
 	state := sheet.PublishState{AfterBase: sheet.VersionRow{Found: true, Publication: "p6"}, Current: current, Head: 7, HeadPublication: "p7", Deployment: usage}
 	for _, tc := range []struct {
@@ -53,7 +54,7 @@
 	}{
 		{"Conflict", sheet.PublishRequest{Base: 6, Content: content, Publication: "p8"}, sheet.Decision{Outcome: sheet.OutcomeConflict, Version: 7}},
 		{"DryRun", sheet.PublishRequest{Base: 7, Content: content, DryRun: true, Publication: "p8"}, sheet.Decision{Outcome: sheet.OutcomeDryRun, Version: 7}},
-		{"Forced", sheet.PublishRequest{Base: 7, Content: stopped, Force: true, Publication: "p8"}, sheet.Decision{
+		{"Forced", sheet.PublishRequest{Base: 7, Content: zeroRate, Force: true, Publication: "p8"}, sheet.Decision{
 			Changes:  []string{"~ Workspaces[die-room].Rate: 200 -> 0"},
 			Problems: []string{"workspace die-room has traffic and a rate of 0"}, Version: 8, Write: true,
 		}},
@@ -62,7 +63,7 @@
 		}},
 		{"Repeated", sheet.PublishRequest{Base: 6, Content: content, Publication: "p7"}, sheet.Decision{Outcome: sheet.OutcomeStored, Version: 7}},
 		{"Superseded", sheet.PublishRequest{Base: 5, Content: content, Publication: "p6"}, sheet.Decision{Outcome: sheet.OutcomeStored, Version: 7}},
-		{"Unsafe", sheet.PublishRequest{Base: 7, Content: stopped, Publication: "p8"}, sheet.Decision{
+		{"Unsafe", sheet.PublishRequest{Base: 7, Content: zeroRate, Publication: "p8"}, sheet.Decision{
 			Changes: []string{"~ Workspaces[die-room].Rate: 200 -> 0"}, Outcome: sheet.OutcomeUnsafe,
 			Problems: []string{"workspace die-room has traffic and a rate of 0"}, Version: 7,
 		}},
@@ -76,8 +77,9 @@
 	}
 }
 
-// TestRacingPublicationsHaveOneWinner guards against two publications on one
-// base that both report success, with lost answers and repeats of either.
+// TestRacingPublicationsHaveOneWinner guards against two publications with the same
+// base that both report success. Responses to writes are lost at random, and
+// requests are retried.
 func TestRacingPublicationsHaveOneWinner(t *testing.T) {
 	content := example(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -101,7 +103,8 @@
 	})
 }
 
-// TestDiff guards against changes that an operator is not shown.
+// TestDiff guards against changes that are missing from the diff shown to
+// operators.
 func TestDiff(t *testing.T) {
 	before := example(t)
 	after := strings.NewReplacer(`"Burst": 40`, `"Burst": 50`, `"KeyID": "k2"`, `"KeyID": "k3"`, `"State": "Out"`, `"State": "InService"`).Replace(before)
@@ -120,8 +123,8 @@
 	}
 }
 
-// TestGenerateKey guards against verifiers that do not authenticate their key
-// in a SCRAM-SHA-256 exchange, and against sums that accept other keys.
+// TestGenerateKey guards against verifiers that reject their own key in a
+// SCRAM-SHA-256 exchange or accept another key.
 func TestGenerateKey(t *testing.T) {
 	random := rand.NewChaCha8([32]byte{1})
 	salt, err := sheet.GenerateSalt(random)
@@ -133,10 +136,10 @@
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(generated.Key, "npk_"+generated.Verifier.KeyID+"_") {
-		t.Errorf("key does not name its id %s", generated.Verifier.KeyID)
+		t.Errorf("key does not contain its ID %s", generated.Verifier.KeyID)
 	}
 	if err := authenticate(t, generated, generated.Key); err != nil {
-		t.Errorf("own key: %v", err)
+		t.Errorf("authenticate with the generated key: %v", err)
 	}
 	if err := authenticate(t, generated, generated.Key+"a"); err == nil {
 		t.Error("another key was accepted")
@@ -150,9 +153,11 @@
 	}
 }
 
+// authenticate runs a SCRAM-SHA-256 exchange with the generated verifier and the
+// given key.
 func authenticate(t *testing.T, generated sheet.GeneratedKey, key string) error {
 	t.Helper()
-	raw := func(text string) []byte {
+	decode := func(text string) []byte {
 		decoded, err := base64.StdEncoding.DecodeString(text)
 		if err != nil {
 			t.Fatal(err)
@@ -161,9 +166,9 @@
 	}
 	server, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) {
 		return scram.StoredCredentials{
-			KeyFactors: scram.KeyFactors{Iters: generated.Iterations, Salt: string(raw(generated.Salt))},
-			ServerKey:  raw(generated.Verifier.ServerKey),
-			StoredKey:  raw(generated.Verifier.StoredKey),
+			KeyFactors: scram.KeyFactors{Iters: generated.Iterations, Salt: string(decode(generated.Salt))},
+			ServerKey:  decode(generated.Verifier.ServerKey),
+			StoredKey:  decode(generated.Verifier.StoredKey),
 		}, nil
 	})
 	if err != nil {
@@ -173,22 +178,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask, answer := client.NewConversation(), server.NewConversation()
+	clientConversation, serverConversation := client.NewConversation(), server.NewConversation()
 	message := ""
-	for !answer.Done() {
-		if message, err = ask.Step(message); err != nil {
+	for !serverConversation.Done() {
+		if message, err = clientConversation.Step(message); err != nil {
 			return err
 		}
-		if message, err = answer.Step(message); err != nil {
+		if message, err = serverConversation.Step(message); err != nil {
 			return err
 		}
 	}
-	_, err = ask.Step(message)
+	_, err = clientConversation.Step(message)
 	return err
 }
 
-// TestIndexAgreesWithSheet guards against an index that answers otherwise than
-// the sheet that it was built from.
+// TestIndexAgreesWithSheet guards against an index whose lookups differ from those
+// of the sheet that it was built from.
 func TestIndexAgreesWithSheet(t *testing.T) {
 	ids := rapid.SampledFrom([]string{"a", "b", "c"})
 	times := rapid.SampledFrom([]string{"", "bad", "2026-03-02T12:00:00Z", "2026-03-02T12:00:01+01:00"})
@@ -216,13 +221,14 @@
 			index.IsOpenToAll(fleet.GroupID(id)), index.MayUse(fleet.WorkspaceID(id), "b"), gotLimits, gotKnown,
 		}
 		if diff := gocmp.Diff(want, got); diff != "" {
-			t.Fatalf("answers (-want +got):\n%s", diff)
+			t.Fatalf("lookups (-want +got):\n%s", diff)
 		}
 	})
 }
 
-// TestLookup guards against expired keys that are accepted, placement that
-// ignores the sheet, and databases used without a grant.
+// TestLookup guards against expired keys that are accepted, service states in the
+// sheet that are ignored, and databases that a workspace may use although it does not
+// list them.
 func TestLookup(t *testing.T) {
 	s := parse(t, example(t))
 	expiry := time.Date(2026, 3, 2, 12, 0, 0, 0, time.UTC)
@@ -242,8 +248,8 @@
 	}
 }
 
-// TestParseReportsAllProblems guards against a check that stops at the first
-// mistake, and against keys and verifiers in its report.
+// TestParseReportsAllProblems guards against a validation that stops at the first
+// problem, and against keys and verifiers in the reported problems.
 func TestParseReportsAllProblems(t *testing.T) {
 	content := strings.NewReplacer(
 		`"Rate": 200`, `"Rate": -1`, `"Weight": 4`, `"Wieght": 4`, `"KeyID": "k2"`, `"KeyID": "k1"`, `"StoredKey": "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA="`, `"StoredKey": "secret!"`,
@@ -269,8 +275,8 @@
 	}
 }
 
-// TestSetState guards against a drain that loses other parts of the sheet or
-// its comments, and one that leaves the state as it was.
+// TestSetState guards against a drain that loses other parts of the sheet or its
+// comments, or does not change the state.
 func TestSetState(t *testing.T) {
 	before := example(t)
 	content, err := sheet.SetDataCentre(before, "gt-1", sheet.StateOut)
@@ -292,8 +298,8 @@
 	}
 }
 
-// TestReferencePage guards against a page that lacks a key of the sheet or
-// states other accepted values.
+// TestReferencePage guards against a reference page that lacks a key of the sheet or
+// states different accepted values or defaults.
 func TestReferencePage(t *testing.T) {
 	page, err := os.ReadFile("../docs/sheet.md")
 	if err != nil {
@@ -308,13 +314,13 @@
 			line += cmp.Or(rule.Default, "-")
 		}
 		if !strings.Contains(string(page), line+" | ") {
-			t.Errorf("docs/sheet.md lacks %q", line)
+			t.Errorf("docs/sheet.md does not contain %q", line)
 		}
 	}
 }
 
-// TestNewRisks guards against sheets that stop service and that nobody is asked
-// about, and against old risks that block a repair.
+// TestNewRisks guards against sheets that interrupt service without a reported risk,
+// and against existing risks that block the correction of a sheet.
 func TestNewRisks(t *testing.T) {
 	content := example(t)
 	usage := sheet.Deployment{DataCentres: []fleet.DataCentre{"gt-1"}, Servers: []sheet.ServerLocation{
@@ -338,8 +344,8 @@
 	}
 }
 
-// FuzzParse guards against sheets that make the parser or the editor fail
-// after they were accepted.
+// FuzzParse guards against panics in the parser, and against accepted sheets that
+// SetDataCentre cannot edit.
 func FuzzParse(f *testing.F) {
 	f.Add(example(f))
 	f.Add(`{"Format": 1, "Servers": null}`)
