--- a/datagram/datagram_test.go
+++ b/datagram/datagram_test.go
@@ -44,8 +44,8 @@
 // noAnswer answers no request.
 func noAnswer([]byte) []byte { return nil }
 
-// TestAsk guards against an answer that is returned for another request.
-func TestAsk(t *testing.T) {
+// TestCall guards against an answer that is returned for another request.
+func TestCall(t *testing.T) {
 	client, server := newEndpoint(t), newEndpoint(t)
 	serve(t, client, noAnswer)
 	serve(t, server, func(request []byte) []byte { return append([]byte("to "), request...) })
--- a/group/detector_test.go
+++ b/group/detector_test.go
@@ -69,8 +69,8 @@
 }
 func noResponses(time.Duration) (b, c time.Duration) { return -1, -1 }
 
-// TestDetectorJudges guards against undetected failures and false alarms.
-func TestDetectorJudges(t *testing.T) {
+// TestDetectorHealth guards against undetected failures and false alarms.
+func TestDetectorHealth(t *testing.T) {
 	const short, long = 1200 * time.Millisecond, 1500 * time.Millisecond
 	report := func(instance fleet.InstanceID, term fleet.Term) group.SuspicionReport {
 		return group.SuspicionReport{Instance: instance, Silence: 2 * time.Second, Term: term}
--- a/group/freshness_test.go
+++ b/group/freshness_test.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestLostPositionsAreCutBack guards against sessions that wait forever for a
+// TestTruncateToForkPoint guards against sessions that wait forever for a
 // position that was lost in a change of primary.
-func TestLostPositionsAreCutBack(t *testing.T) {
+func TestTruncateToForkPoint(t *testing.T) {
 	view := group.View{EstablishedHistory: fleet.History{{First: 1, Term: 1}, {First: 11, Term: 3}}}
 	for _, tc := range []struct {
 		position, want fleet.Position
