--- a/datagram/datagram.go
+++ b/datagram/datagram.go
@@ -92,7 +92,7 @@
 	return e.secret
 }
 
-// Ask sends a request to the endpoint at an address, with the secret of that
+// Call sends a request to the endpoint at an address, with the secret of that
 // endpoint, and returns the answer. The request is sent again until it is
 // answered or the context ends.
 func (e *Endpoint) Call(ctx context.Context, address string, secret, content []byte) ([]byte, error) {
@@ -101,7 +101,7 @@
 		return nil, &Error{Err: err, Kind: KindInvalid, Op: "ask"}
 	}
 	if len(content)+headerBytes > maxMessageBytes {
-		return nil, &Error{Err: errors.New("the request exceeds the maximum message length"), Kind: KindInvalid, Op: "ask"}
+		return nil, &Error{Err: errors.New("the question is too long"), Kind: KindInvalid, Op: "ask"}
 	}
 	id, request := e.register(to, secret)
 	defer e.unregister(id)
@@ -122,7 +122,7 @@
 	}
 }
 
-// Serve answers requests, and receives the answers for Ask, until the context
+// Serve answers requests, and receives the answers for Call, until the context
 // ends. A request that arrives again gets the same answer without another call
 // of answer. If answer returns nil, the request gets no answer.
 func (e *Endpoint) Serve(ctx context.Context, answer func(request []byte) []byte) error {
--- a/fleet/history.go
+++ b/fleet/history.go
@@ -30,7 +30,7 @@
 			return nil, &Error{Op: "parse history", Kind: KindMalformed, Err: fmt.Errorf("%q: %w", text, err)}
 		}
 		if n := len(history); n > 0 && (start.Term <= history[n-1].Term || start.First < history[n-1].First) {
-			return nil, &Error{Op: "parse history", Kind: KindMalformed, Err: fmt.Errorf("%q: term %d is not in ascending order of terms and first positions", text, start.Term)}
+			return nil, &Error{Op: "parse history", Kind: KindMalformed, Err: fmt.Errorf("%q: term %d is out of order", text, start.Term)}
 		}
 		history = append(history, start)
 	}
@@ -85,15 +85,15 @@
 func parseTermStart(text string) (TermStart, error) {
 	termText, firstText, found := strings.Cut(text, ":")
 	if !found {
-		return TermStart{}, fmt.Errorf("%q: not of the form term:first", text)
+		return TermStart{}, fmt.Errorf("%q: want term:first", text)
 	}
 	term, err := strconv.ParseUint(termText, 10, 64)
 	if err != nil {
-		return TermStart{}, fmt.Errorf("%q: parse term: %w", text, err)
+		return TermStart{}, fmt.Errorf("%q: term: %w", text, err)
 	}
 	first, err := strconv.ParseUint(firstText, 10, 64)
 	if err != nil {
-		return TermStart{}, fmt.Errorf("%q: parse first position: %w", text, err)
+		return TermStart{}, fmt.Errorf("%q: first position: %w", text, err)
 	}
 	if first == 0 {
 		return TermStart{}, fmt.Errorf("%q: first position must be at least 1", text)
--- a/fleet/position.go
+++ b/fleet/position.go
@@ -46,15 +46,15 @@
 func ParsePosition(text string) (Position, error) {
 	termText, logText, found := strings.Cut(text, "/")
 	if !found {
-		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: not of the form term/position", text)}
+		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: want term/position", text)}
 	}
 	term, err := strconv.ParseUint(termText, 10, 64)
 	if err != nil {
-		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: parse term: %w", text, err)}
+		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: term: %w", text, err)}
 	}
 	log, err := strconv.ParseUint(logText, 10, 64)
 	if err != nil {
-		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: parse log position: %w", text, err)}
+		return Position{}, &Error{Op: "parse position", Kind: KindMalformed, Err: fmt.Errorf("%q: log position: %w", text, err)}
 	}
 	return Position{Term: Term(term), Log: LogPosition(log)}, nil
 }
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -24,7 +24,7 @@
 // are, and end with the lease.
 func (g *Gateway) updateLimitShares(now time.Time) {
 	g.mu.Lock()
-	if g.routing == nil || g.members.confirmedAt.IsZero() {
+	if g.routing == nil || g.members.verifiedAt.IsZero() {
 		g.mu.Unlock()
 		return
 	}
@@ -40,15 +40,15 @@
 
 // renewLimitLease extends the lease under which this instance admits operations.
 // It starts at the oldest of three times: the last write of this instance's row,
-// and the last confirmations of the instances' rows and of the sheet.
+// and the last verifications of the instances' rows and of the sheet.
 func (g *Gateway) renewLimitLease(now time.Time) {
 	g.mu.Lock()
 	// Without a recent read of the rows, other instances may hold these shares by
 	// now.
 	earliest := g.presence.LastWrite()
-	for _, confirmed := range []time.Time{g.members.confirmedAt, g.sheetConfirmedAt} {
-		if confirmed.Before(earliest) {
-			earliest = confirmed
+	for _, verified := range []time.Time{g.members.verifiedAt, g.sheetVerifiedAt} {
+		if verified.Before(earliest) {
+			earliest = verified
 		}
 	}
 	g.mu.Unlock()
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -20,11 +20,11 @@
 	recordPartition Partition = "primaries"
 
 	// sheetLongPollWait is the long-poll wait for changes of the sheet. Each
-	// response confirms that the known sheet is the latest version. The wait leaves
+	// response verifies that the known sheet is the latest version. The wait leaves
 	// time to retry after a lost response within the key lease of 4.5 s.
 	sheetLongPollWait = 3000 * time.Millisecond
 	// serverLongPollWait is the long-poll wait for backend servers. Their entries
-	// need no confirmation, so it is longer.
+	// need no verification, so it is longer.
 	serverLongPollWait = 5 * time.Second
 	// serverUpdateSpacing is the pause after an update of the servers. When servers
 	// start together they register one after the other within a second, and the
@@ -55,7 +55,7 @@
 		}
 		g.mu.Lock()
 		if g.routing != nil {
-			g.sheetConfirmedAt = f.mirror.VerifiedAt()
+			g.sheetVerifiedAt = f.mirror.VerifiedAt()
 		}
 		g.mu.Unlock()
 	})
@@ -214,17 +214,17 @@
 			}
 			g.applyRecord(now, record, row.Revision, f.mirror.VerifiedAt())
 		}
-		g.confirmRecords(f.mirror.VerifiedAt())
+		g.markRecordsVerified(f.mirror.VerifiedAt())
 	})
 }
 
-// applyRecord applies a primary record that was confirmed as the latest one at the
+// applyRecord applies a primary record that was verified as the latest one at the
 // given time, or at no known time if that is zero.
-func (g *Gateway) applyRecord(now time.Time, record primacy.Record, revision feed.Revision, confirmedAt time.Time) {
+func (g *Gateway) applyRecord(now time.Time, record primacy.Record, revision feed.Revision, verifiedAt time.Time) {
 	g.mu.Lock()
 	state := g.group(record.Group)
-	known := state.tracker.Record()
-	state.tracker.Observe(now, record, g.presence.LeaseStart(confirmedAt))
+	known := state.primaryLease.Record()
+	state.primaryLease.Observe(now, record, g.presence.LeaseStart(verifiedAt))
 	if revision > state.revision {
 		state.revision = revision
 	}
@@ -243,22 +243,22 @@
 	g.config.Log.Record(number, event.Fields{Database: record.Group, Server: record.Primary, Term: record.Term, Text: string(record.Reason)})
 }
 
-// confirmRecords records that all known primary records were the latest ones at the
-// given time, and extends the leases on the primaries accordingly.
-func (g *Gateway) confirmRecords(confirmedAt time.Time) {
+// markRecordsVerified records that all known primary records were the latest ones at
+// the given time, and extends the leases on the primaries accordingly.
+func (g *Gateway) markRecordsVerified(verifiedAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.members.recordsConfirmedAt = confirmedAt
-	g.extendRecordLeases()
+	g.members.recordsVerifiedAt = verifiedAt
+	g.extendPrimaryLeases()
 }
 
-// extendRecordLeases extends the leases on the primaries from the time at which the
-// records were last confirmed, but no later than the last write of this instance's
+// extendPrimaryLeases extends the leases on the primaries from the time at which the
+// records were last verified, but no later than the last write of this instance's
 // row: a change of primary does not wait for an instance whose row has expired. The
 // caller holds g.mu.
-func (g *Gateway) extendRecordLeases() {
-	confirmedAt := g.presence.LeaseStart(g.members.recordsConfirmedAt)
+func (g *Gateway) extendPrimaryLeases() {
+	leaseStart := g.presence.LeaseStart(g.members.recordsVerifiedAt)
 	for _, state := range g.groups {
-		state.tracker.Extend(confirmedAt)
+		state.primaryLease.Extend(leaseStart)
 	}
 }
--- a/gateway/follower.go
+++ b/gateway/follower.go
@@ -35,8 +35,8 @@
 	unavailable bool
 	mirror      *feed.Mirror
 
-	// mu guards changes of the mirror, and the next four fields, which Relay and
-	// interrupt use from other goroutines.
+	// mu guards changes of the mirror, and the next four fields, which ReadChanges
+	// and interrupt use from other goroutines.
 	mu sync.Mutex
 	// nextResponse is closed at the next response or failure.
 	nextResponse chan struct{}
@@ -77,7 +77,7 @@
 }
 
 // follow reads changes and calls apply after each response until the context is
-// cancelled. The argument changed is empty if the response only confirms that the
+// cancelled. The argument changed is empty if the response only verifies that the
 // copy is up to date.
 func (f *tableFollower) follow(ctx context.Context, apply func(now time.Time, changed []feed.Row)) error {
 	retryDelay := time.Duration(0)
@@ -85,7 +85,7 @@
 		longPollWait := f.longPollWait
 		f.bypassRelay = f.clearInterrupt() || f.unavailable
 		if f.bypassRelay {
-			// The last confirmation is old: a response is needed now rather than at
+			// The last verification is old: a response is needed now rather than at
 			// the next change.
 			longPollWait = 0
 		}
@@ -119,8 +119,8 @@
 }
 
 // waitForStore waits until the store should be called again. Meanwhile it polls the
-// relay, if there is one. If the relay has a newer response of the store, waitForStore applies it
-// and reports that the store has recovered.
+// relay, if there is one. If the relay has a newer response of the store,
+// waitForStore applies it and reports that the store has recovered.
 func (f *tableFollower) waitForStore(ctx context.Context, maxWait time.Duration) (changed []feed.Row, recovered bool) {
 	startedAt := f.gateway.config.Clock()
 	for {
@@ -189,7 +189,7 @@
 		if !f.isInterrupted() {
 			f.gateway.recordRelayLost(f.gateway.config.Clock(), peer, err)
 		}
-		// The last confirmation is old by now.
+		// The last verification is old by now.
 		wait = 0
 	}
 	if f.useRelay {
@@ -225,9 +225,9 @@
 		return nil, err
 	}
 	f.gateway.mu.Lock()
-	confirmedAt := f.gateway.storeClock.Observe(sent, clock(), snapshot.StoreTime)
+	verifiedAt := f.gateway.storeClock.Observe(sent, clock(), snapshot.StoreTime)
 	f.gateway.mu.Unlock()
-	return f.apply(snapshot, confirmedAt, true), nil
+	return f.apply(snapshot, verifiedAt, true), nil
 }
 
 // readTable reads the whole table from the store.
--- a/gateway/gate.go
+++ b/gateway/gate.go
@@ -20,11 +20,11 @@
 // store can't be reached: the duration of a few store calls.
 const storeRetryAfter = 500 * time.Millisecond
 
-// maxPoolAttempts limits how often one operation requests permits from the pools of
+// maxPoolAttempts limits how often one operation requests tokens from the pools of
 // its rate limit.
 const maxPoolAttempts = 2
 
-// Admit takes a permit for one operation from the rate limit of the workspace: from
+// Admit takes a token for one operation from the rate limit of the workspace: from
 // this instance's share, or else from the pools of the limit. An operation without
 // a workspace is not limited.
 func (g *Gateway) Admit(now time.Time, workspace fleet.WorkspaceID) *session.Error {
@@ -33,30 +33,30 @@
 	}
 	g.rateLimits.RecordDemand(now, workspace)
 	decision := g.rateLimits.Admit(now, workspace)
-	reason := "other requests used the permits taken from its pools"
+	reason := "other requests took what its pools gave"
 	for attempts := 0; !decision.Admitted && attempts < maxPoolAttempts; attempts++ {
 		taken, retryAfter, poolReason := g.takeFromPools(g.config.Clock(), workspace)
 		if !taken {
 			decision.RetryAfter, reason = min(decision.RetryAfter, retryAfter), poolReason
 			break
 		}
-		// A concurrent request may already have used the permits.
+		// A concurrent request may already have used the tokens.
 		decision = g.rateLimits.Admit(g.config.Clock(), workspace)
 	}
 	if decision.Admitted {
 		return nil
 	}
-	return &session.Error{Err: fmt.Errorf("the workspace has exceeded its rate limit; %s", reason), Kind: session.KindBusy, Op: "admit", RetryAfter: decision.RetryAfter}
+	return &session.Error{Err: fmt.Errorf("the workspace is over its rate; %s", reason), Kind: session.KindBusy, Op: "admit", RetryAfter: decision.RetryAfter}
 }
 
-// Check returns the route and workspace for the credentials. Except for databases
-// that are open to all, it fails if the key is not valid or the sheet was not
-// confirmed within the key lease.
+// Authorize returns the route and workspace for the credentials. Except for
+// databases that are open to all, it fails if the key is not valid or the sheet was
+// not verified within the key lease.
 func (g *Gateway) Authorize(now time.Time, credentials session.Credentials) (session.Access, *session.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.routing == nil {
-		return session.Access{}, &session.Error{Err: errors.New("this instance has not read a sheet from the store yet"), Kind: session.KindBusy, Op: "check", RetryAfter: storeRetryAfter}
+		return session.Access{}, &session.Error{Err: errors.New("no sheet was read yet"), Kind: session.KindBusy, Op: "check", RetryAfter: storeRetryAfter}
 	}
 	route, known := g.routing.Route(credentials.Database)
 	if !known {
@@ -68,32 +68,32 @@
 		return access, nil
 	}
 	if !g.keyLeaseValid(now) {
-		return access, &session.Error{Err: errors.New("the store has not confirmed recently that the sheet is the latest version, so keys can't be checked"), Kind: session.KindBusy, Op: "check", RetryAfter: storeRetryAfter}
+		return access, &session.Error{Err: errors.New("the sheet can't be proved to be the newest one"), Kind: session.KindBusy, Op: "check", RetryAfter: storeRetryAfter}
 	}
 	if !known {
-		return access, &session.Error{Err: errors.New("the key is not valid for any workspace"), Kind: session.KindUnauthorized, Op: "check"}
+		return access, &session.Error{Err: errors.New("the key is not accepted"), Kind: session.KindUnauthorized, Op: "check"}
 	}
 	return access, nil
 }
 
-// Observe counts a finished statement, and logs it if it failed or exceeded the
+// Observe counts a completed statement, and logs it if it failed or exceeded the
 // target latency of its route.
-func (g *Gateway) Observe(now time.Time, ended session.Completion) {
-	route := ended.Requirements.Route
-	observeRequest(route.Database, ended.Latency, ended.Err)
+func (g *Gateway) Observe(now time.Time, completion session.Completion) {
+	route := completion.Requirements.Route
+	observeRequest(route.Database, completion.Latency, completion.Err)
 	number := event.RequestFailed
-	if ended.Err == nil {
+	if completion.Err == nil {
 		number = event.RequestLate
-		if target := route.TargetLatency.Duration(); target == 0 || ended.Latency <= target {
+		if target := route.TargetLatency.Duration(); target == 0 || completion.Latency <= target {
 			return
 		}
 	}
 	g.config.Log.Request(now, number, event.Fields{
 		Database:  route.Database,
-		Request:   string(ended.Statement.ID),
-		Server:    ended.Server,
-		Text:      outcomeText(ended) + g.decisionInputs(now, route.Group),
-		Workspace: ended.Requirements.Workspace,
+		Request:   string(completion.Statement.ID),
+		Server:    completion.Server,
+		Text:      outcomeText(completion) + g.decisionInputs(now, route.Group),
+		Workspace: completion.Requirements.Workspace,
 	})
 }
 
@@ -104,11 +104,11 @@
 	defer g.mu.Unlock()
 	text := "; no sheet loaded"
 	if g.routing != nil {
-		text = fmt.Sprintf("; sheet version %d last confirmed %d ms ago", g.routing.Version, now.Sub(g.sheetConfirmedAt).Milliseconds())
+		text = fmt.Sprintf("; sheet version %d last verified %d ms ago", g.routing.Version, now.Sub(g.sheetVerifiedAt).Milliseconds())
 	}
 	if state := g.groups[group]; state != nil {
-		record := state.tracker.Record()
-		text += fmt.Sprintf("; primary %s in phase %s of term %d", record.Primary, record.Phase, record.Term)
+		record := state.primaryLease.Record()
+		text += fmt.Sprintf("; primary %s, record phase %s, term %d", record.Primary, record.Phase, record.Term)
 	}
 	return text
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -150,7 +150,7 @@
 	Instance fleet.InstanceID
 	Log      *Log
 	// PeerTransport sends requests to the other instances. If it is nil, the
-	// instance takes no permits from rate limit pools on other instances.
+	// instance takes no tokens from rate limit pools on other instances.
 	PeerTransport PeerTransport
 	Promoter      Promoter
 	// RelayClient fetches table changes that another instance has read from the
@@ -175,9 +175,9 @@
 	stateChanged chan struct{}
 	// routing is the sheet in force, or nil. It is written by followSheet.
 	routing *sheet.Routing
-	// sheetConfirmedAt is a time at which routing was confirmed to be the latest
+	// sheetVerifiedAt is a time at which routing was verified to be the latest
 	// published version. It is written by followSheet.
-	sheetConfirmedAt time.Time
+	sheetVerifiedAt time.Time
 	// servers holds the registered backend servers. It is written by
 	// followServers.
 	servers map[fleet.ServerID]*backendServer
@@ -228,8 +228,8 @@
 	inFlight int
 	// drainingSince is when the server was first seen draining.
 	drainingSince time.Time
-	// lagBackoffUntil is the time until which a replica gets no reads because it
-	// lacked a required log position, and lagBackoff the last such delay.
+	// lagBackoff is how long a replica gets no reads because it lacked a required
+	// log position, and lagBackoffUntil is when that ends.
 	lagBackoff      time.Duration
 	lagBackoffUntil time.Time
 	latency         pool.LatencyEstimator
@@ -244,9 +244,9 @@
 	revision feed.Revision
 	// positionSamples are recent log positions of the primary.
 	positionSamples primacy.PositionSamples
-	// tracker holds the primary record and whether this instance may use the
+	// primaryLease holds the primary record and whether this instance may use the
 	// primary.
-	tracker primacy.PrimaryLease
+	primaryLease primacy.PrimaryLease
 }
 
 // New returns an instance that has not read anything from the store yet.
@@ -313,10 +313,10 @@
 	return g.routing.TransactionIdle()
 }
 
-// keyLeaseValid reports whether the sheet was confirmed as the latest version
+// keyLeaseValid reports whether the sheet was verified as the latest version
 // recently enough to accept keys. The caller holds g.mu.
 func (g *Gateway) keyLeaseValid(now time.Time) bool {
-	return now.Before(g.sheetConfirmedAt.Add(g.config.Settings.KeyLease))
+	return now.Before(g.sheetVerifiedAt.Add(g.config.Settings.KeyLease))
 }
 
 // requestHeartbeat tells the membership controller to write this instance's row now.
--- a/gateway/lease.go
+++ b/gateway/lease.go
@@ -30,7 +30,7 @@
 	server  fleet.ServerID
 }
 
-// After returns the log position that reads must require of the server, or zero.
+// MinPosition returns the log position that reads must require of the server, or zero.
 func (l *lease) MinPosition() fleet.Position {
 	return l.minPosition
 }
@@ -43,7 +43,7 @@
 	}
 	l.gateway.mu.Lock()
 	defer l.gateway.mu.Unlock()
-	return l.gateway.group(l.group).tracker.Exclusive(now, l.generation)
+	return l.gateway.group(l.group).primaryLease.Exclusive(now, l.generation)
 }
 
 // Release returns the connection to the pool.
@@ -62,7 +62,7 @@
 		server.inFlight--
 	}
 	if l.primary {
-		g.group(l.group).tracker.Release()
+		g.group(l.group).primaryLease.Release()
 	}
 }
 
@@ -97,7 +97,7 @@
 	}
 	l.requestedAt = time.Time{}
 	state := g.group(l.group)
-	if failure == nil && l.primary && state.tracker.Exclusive(now, l.generation) {
+	if failure == nil && l.primary && state.primaryLease.Exclusive(now, l.generation) {
 		state.positionSamples.Add(reply.Position, sent)
 	}
 	return reply, failure
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -61,7 +61,8 @@
 	Group      fleet.GroupID
 }
 
-// MemberRow is the row that an instance writes periodically for the others to read.
+// MemberRow is the membership row that an instance writes periodically for the others
+// to read.
 type MemberRow struct {
 	// Address is where the instance serves requests of other instances.
 	Address string `json:",omitempty"`
@@ -70,7 +71,7 @@
 	// Beat is a heartbeat counter that changes with each write.
 	Beat       uint64
 	DataCentre fleet.DataCentre
-	// Demand is the demand on the instance in operations per second.
+	// Demand is the demand on the instance in requests per second.
 	Demand float64
 	// Epoch identifies the run of the instance's process.
 	Epoch fleet.Epoch
@@ -107,14 +108,14 @@
 	ownRevision feed.Revision
 	// participation decides when this instance holds shares of the rate limits.
 	participation *workspace.Participation
-	// confirmedAt is a time at which members was confirmed to be up to date.
-	confirmedAt time.Time
-	// confirmedStoreTime is confirmedAt on the store's clock.
-	confirmedStoreTime time.Duration
-	// recordsConfirmedAt is a time at which the primary records were confirmed to
+	// verifiedAt is a time at which members was verified to be up to date.
+	verifiedAt time.Time
+	// verifiedStoreTime is verifiedAt on the store's clock.
+	verifiedStoreTime time.Duration
+	// recordsVerifiedAt is a time at which the primary records were verified to
 	// be up to date.
-	recordsConfirmedAt time.Time
-	self               fleet.InstanceID
+	recordsVerifiedAt time.Time
+	self              fleet.InstanceID
 	// resumedRowValidUntil is when the row written by an earlier run of this
 	// instance expires. Until then it counts as this instance's row.
 	resumedRowValidUntil time.Time
@@ -157,7 +158,7 @@
 
 // isLive reports whether the lease of an instance may still be valid.
 func (v *memberView) isLive(m *member) bool {
-	return !primacy.IsLeaseExpired(v.confirmedStoreTime - m.row.At)
+	return !primacy.IsLeaseExpired(v.verifiedStoreTime - m.row.At)
 }
 
 // otherLive iterates over the rows of the other live instances.
@@ -277,10 +278,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for id, state := range g.groups {
-		if state.tracker.Record().Phase != primacy.PhaseChanging {
+		if state.primaryLease.Record().Phase != primacy.PhaseChanging {
 			continue
 		}
-		generation, confirmed := state.tracker.ConfirmLeave(now)
+		generation, confirmed := state.primaryLease.ConfirmLeave(now)
 		if !confirmed {
 			g.requestHeartbeat()
 			continue
@@ -298,7 +299,7 @@
 		// Others may have taken over the shares that this instance, or its earlier
 		// run, held.
 		g.members.participation.Reset()
-		g.members.confirmedAt = time.Time{}
+		g.members.verifiedAt = time.Time{}
 	}
 	phase, phaseChanged := g.members.participation.NextPhase()
 	row := g.buildOwnRow(now, phase)
@@ -324,7 +325,7 @@
 	}
 	g.members.lastWritten = row
 	g.recordOwnRowWritten(now)
-	g.extendRecordLeases()
+	g.extendPrimaryLeases()
 	return true, phaseChanged
 }
 
@@ -362,7 +363,7 @@
 	g.mu.Lock()
 	var removal *Write
 	for id, m := range g.members.members {
-		if g.members.leading && id != g.members.self && g.members.confirmedStoreTime-m.row.At > memberRetention {
+		if g.members.leading && id != g.members.self && g.members.verifiedStoreTime-m.row.At > memberRetention {
 			removal = &Write{Key: string(id), Partition: memberPartition(id), Remove: true, Revision: m.revision, Table: memberTable}
 			break
 		}
@@ -421,7 +422,7 @@
 		row.Left = append(row.Left, GroupLeft{Generation: generation, Group: id})
 	}
 	for _, state := range g.groups {
-		if primary := state.tracker.Record().Primary; g.isPrimaryUnavailable(primary) {
+		if primary := state.primaryLease.Record().Primary; g.isPrimaryUnavailable(primary) {
 			row.Unreachable = append(row.Unreachable, primary)
 		}
 	}
@@ -498,8 +499,8 @@
 			g.observeLeader(now, row)
 		}
 	}
-	if tableConfirmedAt := f.mirror.VerifiedAt(); tableConfirmedAt.After(g.members.confirmedAt) {
-		g.members.confirmedAt, g.members.confirmedStoreTime = tableConfirmedAt, g.storeClock.StoreTime(tableConfirmedAt)
+	if tableVerifiedAt := f.mirror.VerifiedAt(); tableVerifiedAt.After(g.members.verifiedAt) {
+		g.members.verifiedAt, g.members.verifiedStoreTime = tableVerifiedAt, g.storeClock.StoreTime(tableVerifiedAt)
 	}
 	g.probeReportedPrimaries()
 	if count := g.members.liveCount(); count != liveBefore || len(changed) > 0 {
@@ -513,7 +514,7 @@
 // they do. The caller holds g.mu.
 func (g *Gateway) probeReportedPrimaries() {
 	for _, state := range g.groups {
-		if primary := state.tracker.Record().Primary; g.members.reportedUnreachable(primary) {
+		if primary := state.primaryLease.Record().Primary; g.members.reportedUnreachable(primary) {
 			g.startProbing(primary)
 		}
 	}
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -70,18 +70,18 @@
 }
 
 // outcomeText describes the outcome of a statement for the log.
-func outcomeText(ended session.Completion) string {
+func outcomeText(completion session.Completion) string {
 	outcome := "served"
-	if ended.Err != nil {
-		outcome = fmt.Sprintf("%s: %v", ended.Err.Kind, ended.Err.Err)
+	if completion.Err != nil {
+		outcome = fmt.Sprintf("%s: %v", completion.Err.Kind, completion.Err.Err)
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s %s; %d attempts, took %d ms", ended.Statement.Kind, outcome, ended.Attempts, ended.Latency.Milliseconds())
-	if ended.Err != nil && ended.Err.RetryAfter > 0 {
-		fmt.Fprintf(&text, ", retry after %d ms", ended.Err.RetryAfter.Milliseconds())
+	fmt.Fprintf(&text, "%s %s; %d attempts, took %d ms", completion.Statement.Kind, outcome, completion.Attempts, completion.Latency.Milliseconds())
+	if completion.Err != nil && completion.Err.RetryAfter > 0 {
+		fmt.Fprintf(&text, ", retry after %d ms", completion.Err.RetryAfter.Milliseconds())
 	}
-	if !ended.Requirements.LastWrite.IsZero() {
-		text.WriteString(", last commit of the session at log position " + ended.Requirements.LastWrite.String())
+	if !completion.Requirements.LastWrite.IsZero() {
+		text.WriteString(", last commit of the session at log position " + completion.Requirements.LastWrite.String())
 	}
 	return text.String()
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// permitBatchDuration is the time for whose expected demand an instance takes
-	// permits from a pool in one call. Unused permits on the instances add to the
+	// tokenBatchDuration is the time for whose expected demand an instance takes
+	// tokens from a pool in one call. Unused tokens on the instances add to the
 	// burst of a workspace, so they must stay well below the 10 % by which a limit
 	// may be exceeded in 5 s.
-	permitBatchDuration = 250 * time.Millisecond
+	tokenBatchDuration = 250 * time.Millisecond
 	// peerCallTimeout is the timeout of one call, for which a request waits. A
 	// response takes two to four milliseconds, and a lost datagram is sent again.
 	peerCallTimeout = 70 * time.Millisecond
@@ -49,13 +49,13 @@
 	// Look tells the leader to read the instances' rows now, because the sender's
 	// row has new information about a primary.
 	Look bool `json:",omitempty"`
-	// Take is nil if no permits are requested.
+	// Take is nil if no tokens are requested.
 	Take *TakeRequest `json:",omitempty"`
 }
 
-// TakeRequest requests permits from the owner of a rate limit pool.
+// TakeRequest requests tokens from the owner of a rate limit pool.
 type TakeRequest struct {
-	// Want is the number of permits.
+	// Want is the number of tokens.
 	Want      float64
 	Workspace fleet.WorkspaceID
 }
@@ -64,7 +64,7 @@
 type PeerResponse struct {
 	// RetryAfter is set if the pool is empty.
 	RetryAfter time.Duration `json:",omitempty"`
-	// Taken is the number of permits granted.
+	// Taken is the number of tokens granted.
 	Taken float64
 }
 
@@ -79,7 +79,7 @@
 			g.config.Log.Record(event.EntryRefused, event.Fields{Text: "decode a request of another instance: " + err.Error()})
 			return nil
 		}
-		encoded, err := json.Marshal(g.answer(request))
+		encoded, err := json.Marshal(g.response(request))
 		if err != nil {
 			g.config.Log.Record(event.EntryRefused, event.Fields{Text: "encode the response to another instance: " + err.Error()})
 			return nil
@@ -88,9 +88,10 @@
 	})
 }
 
-// answer processes a request of another instance, or of this one to its own pool.
-func (g *Gateway) answer(request PeerRequest) PeerResponse {
-	var answer PeerResponse
+// response processes a request of another instance, or of this one to its own pool,
+// and returns the response.
+func (g *Gateway) response(request PeerRequest) PeerResponse {
+	var response PeerResponse
 	if request.Look {
 		select {
 		case g.memberPollRequests <- struct{}{}:
@@ -98,9 +99,9 @@
 		}
 	}
 	if take := request.Take; take != nil {
-		answer.Taken, answer.RetryAfter = g.rateLimits.TakeFromPool(g.config.Clock(), take.Workspace, take.Want)
+		response.Taken, response.RetryAfter = g.rateLimits.TakeFromPool(g.config.Clock(), take.Workspace, take.Want)
 	}
-	return answer
+	return response
 }
 
 // notifyLeader tells the leader to read the instances' rows now. If the call fails,
@@ -117,30 +118,30 @@
 	}
 }
 
-// takeFromPools takes permits from the pools of a workspace's rate limit. If none
+// takeFromPools takes tokens from the pools of a workspace's rate limit. If none
 // were taken, it returns when a caller may retry, and the reason.
 func (g *Gateway) takeFromPools(now time.Time, id fleet.WorkspaceID) (taken bool, retryAfter time.Duration, reason string) {
 	owners := g.rateLimits.PoolOwners(now, id)
-	want := math.Max(1, g.rateLimits.Demand(now, id)*permitBatchDuration.Seconds())
-	retryAfter, reason = storeRetryAfter, "this instance's lease on the rate limits has expired, or no pool of the limit is available"
+	want := math.Max(1, g.rateLimits.Demand(now, id)*tokenBatchDuration.Seconds())
+	retryAfter, reason = storeRetryAfter, "its limits are not known to be in force"
 	for i, owner := range owners {
 		if wait := owner.SkipUntil.Sub(now); wait > 0 {
-			retryAfter, reason = earlierRetry(i, retryAfter, wait), "its rate limit pools were empty or did not respond a moment ago"
+			retryAfter, reason = earlierRetry(i, retryAfter, wait), "its pools were empty or silent a moment ago"
 			continue
 		}
-		answer, err := g.takeFromOwner(owner.Instance, TakeRequest{Want: want, Workspace: id})
+		response, err := g.takeFromOwner(owner.Instance, TakeRequest{Want: want, Workspace: id})
 		now = g.config.Clock()
 		if err != nil {
 			g.rateLimits.SkipOwner(id, owner.Instance, now.Add(failedOwnerBackoff))
-			retryAfter, reason = earlierRetry(i, retryAfter, storeRetryAfter), fmt.Sprintf("no response from its rate limit pool on instance %s: %v", owner.Instance, err)
+			retryAfter, reason = earlierRetry(i, retryAfter, storeRetryAfter), fmt.Sprintf("no answer from its pool on %s: %v", owner.Instance, err)
 			continue
 		}
-		if answer.Taken > 0 {
-			g.rateLimits.Add(now, id, answer.Taken)
+		if response.Taken > 0 {
+			g.rateLimits.Add(now, id, response.Taken)
 			return true, 0, ""
 		}
-		g.rateLimits.SkipOwner(id, owner.Instance, now.Add(min(emptyPoolBackoff, answer.RetryAfter)))
-		retryAfter, reason = earlierRetry(i, retryAfter, answer.RetryAfter), "its rate limit pool on instance "+string(owner.Instance)+" is empty"
+		g.rateLimits.SkipOwner(id, owner.Instance, now.Add(min(emptyPoolBackoff, response.RetryAfter)))
+		retryAfter, reason = earlierRetry(i, retryAfter, response.RetryAfter), "its pool on "+string(owner.Instance)+" is empty"
 	}
 	return false, retryAfter, reason
 }
@@ -154,11 +155,11 @@
 	return min(current, candidate)
 }
 
-// takeFromOwner takes permits from the pool of an owner, which may be this instance.
+// takeFromOwner takes tokens from the pool of an owner, which may be this instance.
 func (g *Gateway) takeFromOwner(owner fleet.InstanceID, take TakeRequest) (PeerResponse, error) {
 	request := PeerRequest{Take: &take}
 	if owner == g.config.Instance {
-		return g.answer(request), nil
+		return g.response(request), nil
 	}
 	return g.callPeer(owner, request)
 }
@@ -169,7 +170,7 @@
 	peer := g.members.members[instance]
 	g.mu.Unlock()
 	if peer == nil || peer.row.Address == "" || g.config.PeerTransport == nil {
-		return PeerResponse{}, &Error{Err: errors.New("the peer address of the instance is unknown"), Kind: KindNotDone, Op: "ask"}
+		return PeerResponse{}, &Error{Err: errors.New("its address is not known"), Kind: KindNotDone, Op: "ask"}
 	}
 	payload, err := json.Marshal(request)
 	if err != nil {
@@ -178,14 +179,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
 	encoded, err := g.config.PeerTransport.Call(ctx, peer.row.Address, peer.row.Secret, payload)
-	var answer PeerResponse
+	var response PeerResponse
 	if err == nil {
-		err = json.Unmarshal(encoded, &answer)
+		err = json.Unmarshal(encoded, &response)
 	}
 	countPeerCall(err)
 	if err != nil {
-		// If the owner granted permits, they are lost.
+		// If the owner granted tokens, they are lost.
 		return PeerResponse{}, &Error{Err: err, Kind: KindUnknown, Op: "ask"}
 	}
-	return answer, nil
+	return response, nil
 }
--- a/gateway/promoter.go
+++ b/gateway/promoter.go
@@ -37,15 +37,15 @@
 )
 
 // promotionState is the leader's state for one group, in addition to the primary
-// record. It is guarded by the promoter's mu.
+// record. It is guarded by the mu of promotionController.
 type promotionState struct {
 	// stepRunning is true while a step for the group is being executed.
 	stepRunning bool
-	// changedAt is when the current generation of the record was first seen.
-	changedAt time.Time
-	// orderedAt is when this instance last ordered a promotion in that
+	// generationSeenAt is when the current generation of the record was first seen.
+	generationSeenAt time.Time
+	// lastOrderAt is when this instance last ordered a promotion in that
 	// generation, or zero.
-	orderedAt time.Time
+	lastOrderAt time.Time
 	// unsentOrder is the record that this instance has written and whose latest
 	// promotion order it has not sent yet.
 	unsentOrder primacy.Record
@@ -61,9 +61,9 @@
 	status      ServerStatus
 }
 
-// promoter is the promotion controller. It decides on changes of primaries and
-// executes them while this instance is the leader.
-type promoter struct {
+// promotionController decides on changes of primaries and executes them while this
+// instance is the leader.
+type promotionController struct {
 	gateway *Gateway
 	// memberFollower reads the instances' rows from the store itself.
 	memberFollower *tableFollower
@@ -78,7 +78,7 @@
 
 // runPromotions runs the promotion controller until the context is cancelled.
 func (g *Gateway) runPromotions(ctx context.Context) error {
-	p := &promoter{gateway: g, groups: map[fleet.GroupID]*promotionState{}, memberFollower: g.newDirectFollower(memberTable, 0, memberPartitions()...)}
+	p := &promotionController{gateway: g, groups: map[fleet.GroupID]*promotionState{}, memberFollower: g.newDirectFollower(memberTable, 0, memberPartitions()...)}
 	tick := nonLeaderTick
 	for sleep(ctx, tick) {
 		tick = nonLeaderTick
@@ -142,7 +142,7 @@
 }
 
 // reset discards the state gathered while this instance was the leader.
-func (p *promoter) reset() {
+func (p *promotionController) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.groups)
@@ -150,12 +150,12 @@
 
 // needsFastPolling reports whether any primary is being replaced, or can't be used by
 // this or another live instance.
-func (p *promoter) needsFastPolling() bool {
+func (p *promotionController) needsFastPolling() bool {
 	g := p.gateway
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, state := range g.groups {
-		record := state.tracker.Record()
+		record := state.primaryLease.Record()
 		if record.Phase == primacy.PhaseChanging || g.isPrimaryUnavailable(record.Primary) || g.members.reportedUnreachable(record.Primary) {
 			return true
 		}
@@ -165,7 +165,7 @@
 
 // step decides on the next step for a group and executes it in a goroutine of its
 // own, so that groups do not wait for each other.
-func (p *promoter) step(ctx context.Context, group fleet.GroupID, token primacy.Token) {
+func (p *promotionController) step(ctx context.Context, group fleet.GroupID, token primacy.Token) {
 	p.mu.Lock()
 	state := p.groups[group]
 	if state == nil {
@@ -204,7 +204,7 @@
 // statusStepForClaimant returns a status step if a server other than the recorded
 // primary is registered as primary: a promotion order whose response was lost may
 // have taken effect.
-func (p *promoter) statusStepForClaimant(s primacy.Situation) primacy.Step {
+func (p *promotionController) statusStepForClaimant(s primacy.Situation) primacy.Step {
 	g := p.gateway
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -219,24 +219,24 @@
 
 // situation returns the input of the decision on a group, the revision of the group's
 // primary record, and the servers to ask for their status. The caller holds p.mu.
-func (p *promoter) situation(now time.Time, group fleet.GroupID, state *promotionState) (primacy.Situation, feed.Revision, []pool.Server) {
+func (p *promotionController) situation(now time.Time, group fleet.GroupID, state *promotionState) (primacy.Situation, feed.Revision, []pool.Server) {
 	g := p.gateway
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	current := g.group(group)
-	record := current.tracker.Record()
+	record := current.primaryLease.Record()
 	if record.Generation != state.record.Generation {
-		state.changedAt, state.orderedAt = now, time.Time{}
+		state.generationSeenAt, state.lastOrderAt = now, time.Time{}
 	}
 	state.record = record
-	s := primacy.Situation{GenerationSeenAt: state.changedAt, LastOrderAt: state.orderedAt, OrderPending: record.Target != "" && record == state.unsentOrder, Record: record}
+	s := primacy.Situation{GenerationSeenAt: state.generationSeenAt, LastOrderAt: state.lastOrderAt, OrderPending: record.Target != "" && record == state.unsentOrder, Record: record}
 	if g.routing != nil {
 		s.SyncReplicas = g.routing.Database(group).SyncReplicas
 	}
 	for id, m := range g.members.members {
 		s.Members = append(s.Members, p.memberStatus(id, m, group, record))
 	}
-	if g.members.confirmedAt.Before(state.changedAt) {
+	if g.members.verifiedAt.Before(state.generationSeenAt) {
 		// An instance that has started since the rows were read may not be known
 		// yet, so a live instance that has not confirmed the change is assumed.
 		s.Members = append(s.Members, primacy.Member{Live: true})
@@ -267,7 +267,7 @@
 
 // memberStatus returns whether an instance is live, can't reach the primary, and has
 // stopped using it. The caller holds g.mu.
-func (p *promoter) memberStatus(id fleet.InstanceID, m *member, group fleet.GroupID, record primacy.Record) primacy.Member {
+func (p *promotionController) memberStatus(id fleet.InstanceID, m *member, group fleet.GroupID, record primacy.Record) primacy.Member {
 	g := p.gateway
 	status := primacy.Member{Live: g.members.isLive(m)}
 	if id == g.members.self {
@@ -288,7 +288,7 @@
 }
 
 // execute executes one step for a group.
-func (p *promoter) execute(ctx context.Context, group fleet.GroupID, state *promotionState, step primacy.Step, revision feed.Revision, servers []pool.Server, token primacy.Token) {
+func (p *promotionController) execute(ctx context.Context, group fleet.GroupID, state *promotionState, step primacy.Step, revision feed.Revision, servers []pool.Server, token primacy.Token) {
 	switch step.Kind {
 	case primacy.StepPromote:
 		p.sendPromotionOrder(ctx, group, state, step.Target, token)
@@ -300,7 +300,7 @@
 }
 
 // pollStatuses requests the status of all given servers concurrently.
-func (p *promoter) pollStatuses(state *promotionState, servers []pool.Server) {
+func (p *promotionController) pollStatuses(state *promotionState, servers []pool.Server) {
 	var calls sync.WaitGroup
 	now := p.gateway.config.Clock()
 	p.mu.Lock()
@@ -315,7 +315,7 @@
 
 // pollStatus requests the status of one server. A server that reports itself as the
 // primary of an earlier term than the record's is told to step down.
-func (p *promoter) pollStatus(state *promotionState, server pool.Server, record primacy.Record, now time.Time) {
+func (p *promotionController) pollStatus(state *promotionState, server pool.Server, record primacy.Record, now time.Time) {
 	g := p.gateway
 	deadline := now.Add(statusTimeout)
 	conn, failure := g.pool.AcquireAny(deadline, server.ID)
@@ -340,14 +340,14 @@
 
 // sendPromotionOrder orders the promotion of a server if this instance is still the
 // leader with the same fencing token.
-func (p *promoter) sendPromotionOrder(ctx context.Context, group fleet.GroupID, state *promotionState, target fleet.ServerID, token primacy.Token) {
+func (p *promotionController) sendPromotionOrder(ctx context.Context, group fleet.GroupID, state *promotionState, target fleet.ServerID, token primacy.Token) {
 	g := p.gateway
 	now := g.config.Clock()
 	if current, leading := g.leaderToken(now); !leading || current != token {
 		return
 	}
 	p.mu.Lock()
-	state.orderedAt = now
+	state.lastOrderAt = now
 	state.unsentOrder = primacy.Record{}
 	p.mu.Unlock()
 	g.config.Log.Record(event.PromotionOrdered, event.Fields{Database: group, Server: target})
@@ -360,7 +360,7 @@
 
 // writeRecord writes the next primary record if the stored one still has the given
 // revision. If it does not, the current record is applied instead.
-func (p *promoter) writeRecord(ctx context.Context, group fleet.GroupID, state *promotionState, record primacy.Record, revision feed.Revision) {
+func (p *promotionController) writeRecord(ctx context.Context, group fleet.GroupID, state *promotionState, record primacy.Record, revision feed.Revision) {
 	g := p.gateway
 	record.Group = group
 	content, err := record.Encode()
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -14,7 +14,7 @@
 
 const (
 	// relayLongPollWait is the long-poll wait at the store for the tables that are
-	// relayed. Each response also confirms the copies of the other instances, so it
+	// relayed. Each response also verifies the copies of the other instances, so it
 	// is shorter than for an instance that reads only for itself.
 	relayLongPollWait = 1500 * time.Millisecond
 	// relayGrace is added to relayLongPollWait for the timeout of a long poll at
@@ -49,15 +49,15 @@
 	secret   []byte
 }
 
-// Relay serves a request of another instance for the changes that this one has read
-// from the store. If request.Wait is set, it waits for a response of the store that
-// is newer than request.StoreTime.
+// ReadChanges serves a request of another instance for the changes that this one has
+// read from the store. If request.Wait is set, it waits for a response of the store
+// that is newer than request.StoreTime.
 func (g *Gateway) ReadChanges(ctx context.Context, request relay.Request) (feed.Snapshot, error) {
 	g.mu.Lock()
 	f := g.followers[Table(request.Table)]
 	g.mu.Unlock()
 	if f == nil {
-		return feed.Snapshot{}, &Error{Err: errors.New("this instance keeps no copy of the requested table"), Kind: KindInvalid, Op: "relay"}
+		return feed.Snapshot{}, &Error{Err: errors.New("the table is not followed"), Kind: KindInvalid, Op: "relay"}
 	}
 	for {
 		snapshot, nextResponse, err := f.relaySnapshot(request.After)
@@ -79,7 +79,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.fromStore {
-		return feed.Snapshot{}, nil, &Error{Err: errors.New("this instance is currently not reading the table from the store"), Kind: KindNotDone, Op: "relay"}
+		return feed.Snapshot{}, nil, &Error{Err: errors.New("this instance does not read from the store now"), Kind: KindNotDone, Op: "relay"}
 	}
 	return f.mirror.ChangesSince(after), f.nextResponse, nil
 }
@@ -158,20 +158,20 @@
 		return nil, err
 	}
 	f.gateway.mu.Lock()
-	confirmedAt, calibrated := f.gateway.storeClock.LocalTime(f.gateway.config.Clock(), snapshot.StoreTime)
+	verifiedAt, calibrated := f.gateway.storeClock.LocalTime(f.gateway.config.Clock(), snapshot.StoreTime)
 	f.gateway.mu.Unlock()
 	if !calibrated {
-		return nil, &Error{Err: errors.New("the store's clock is unknown, because this instance has read nothing from the store yet"), Kind: KindInvalid, Op: "relay"}
+		return nil, &Error{Err: errors.New("the store's clock is not known"), Kind: KindInvalid, Op: "relay"}
 	}
-	return f.apply(snapshot, confirmedAt, false), nil
+	return f.apply(snapshot, verifiedAt, false), nil
 }
 
-// apply applies a response to the local copy, which shows the table as of confirmedAt
+// apply applies a response to the local copy, which shows the table as of verifiedAt
 // or later, and returns the changed rows.
-func (f *tableFollower) apply(snapshot feed.Snapshot, confirmedAt time.Time, fromStore bool) []feed.Row {
+func (f *tableFollower) apply(snapshot feed.Snapshot, verifiedAt time.Time, fromStore bool) []feed.Row {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changed := f.mirror.Apply(snapshot, confirmedAt)
+	changed := f.mirror.Apply(snapshot, verifiedAt)
 	f.notifyWaiters(fromStore)
 	return changed
 }
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -19,70 +19,71 @@
 	// lack of a usable server, most often because the primary is being replaced.
 	primaryRetryAfter = 300 * time.Millisecond
 	// drainingUseTime is how long a draining server still gets requests that only
-	// it can run. It stays below the bound of 7 s in use for new work on such a
+	// it can run. It stays below the 7 s that are allowed for new work on such a
 	// server.
 	drainingUseTime = 5 * time.Second
 )
 
-// Acquire returns a connection to a server that meets the need: the primary for writes
-// and for routes that require it, or else a server with a recent enough log.
-func (g *Gateway) Acquire(need session.Requirements) (session.Lease, *session.Error) {
-	if need.Write || need.Route.Consistency == sheet.ConsistencyPrimary {
-		return g.acquirePrimary(need)
-	}
-	server, minPosition, primary, found := g.chooseReplica(need)
+// Acquire returns a connection to a server that meets the requirements: the primary
+// for writes and for routes that require it, or else a server with a recent enough
+// log.
+func (g *Gateway) Acquire(requirements session.Requirements) (session.Lease, *session.Error) {
+	if requirements.Write || requirements.Route.Consistency == sheet.ConsistencyPrimary {
+		return g.acquirePrimary(requirements)
+	}
+	server, minPosition, primary, found := g.chooseReplica(requirements)
 	if !found {
-		return nil, &session.Error{Err: errors.New("no reachable server has a recent enough replication log"), Kind: session.KindLagging, Op: "route", RetryAfter: primaryRetryAfter}
+		return nil, &session.Error{Err: errors.New("no server with a recent enough log can be reached"), Kind: session.KindLagging, Op: "route", RetryAfter: primaryRetryAfter}
 	}
 	if primary {
-		return g.acquirePrimary(need)
+		return g.acquirePrimary(requirements)
 	}
-	return g.lease(need, &lease{minPosition: minPosition, gateway: g, group: need.Route.Group, server: server})
+	return g.lease(requirements, &lease{minPosition: minPosition, gateway: g, group: requirements.Route.Group, server: server})
 }
 
 // acquirePrimary returns a connection to the primary. It waits until the primary may
 // be used, at most until the deadline less executionReserve.
-func (g *Gateway) acquirePrimary(need session.Requirements) (session.Lease, *session.Error) {
+func (g *Gateway) acquirePrimary(requirements session.Requirements) (session.Lease, *session.Error) {
 	for {
 		now := g.config.Clock()
 		g.mu.Lock()
-		l, changed, err := g.tryUsePrimary(now, need)
+		l, changed, err := g.tryUsePrimary(now, requirements)
 		g.mu.Unlock()
 		if err != nil {
 			return nil, err
 		}
 		if l != nil {
-			return g.lease(need, l)
+			return g.lease(requirements, l)
 		}
-		remaining := need.Deadline.Add(-executionReserve).Sub(now)
+		remaining := requirements.Deadline.Add(-executionReserve).Sub(now)
 		if remaining <= 0 || !waitForChange(changed, remaining) {
-			return nil, &session.Error{Err: errors.New("timed out waiting for a usable primary: it is being replaced, out of service or not registered, or this instance's lease on it has expired"), Kind: session.KindBusy, Op: "route", RetryAfter: primaryRetryAfter}
+			return nil, &session.Error{Err: errors.New("the primary is being replaced"), Kind: session.KindBusy, Op: "route", RetryAfter: primaryRetryAfter}
 		}
 	}
 }
 
 // tryUsePrimary starts a use of the primary. If it may not be used now, it returns a
 // channel that is closed at the next change of state. The caller holds g.mu.
-func (g *Gateway) tryUsePrimary(now time.Time, need session.Requirements) (*lease, <-chan struct{}, *session.Error) {
-	state := g.group(need.Route.Group)
-	record := state.tracker.Record()
+func (g *Gateway) tryUsePrimary(now time.Time, requirements session.Requirements) (*lease, <-chan struct{}, *session.Error) {
+	state := g.group(requirements.Route.Group)
+	record := state.primaryLease.Record()
 	if record.Phase == primacy.PhaseServing && g.isUnreachable(record.Primary) {
-		return nil, nil, &session.Error{Err: errors.New("the primary does not respond to this instance"), Kind: session.KindBusy, Op: "route", RetryAfter: primaryRetryAfter}
+		return nil, nil, &session.Error{Err: errors.New("the primary does not answer this instance"), Kind: session.KindBusy, Op: "route", RetryAfter: primaryRetryAfter}
 	}
 	server := g.servers[record.Primary]
 	if record.Phase == primacy.PhaseServing && server != nil && !g.usable(now, server) {
 		return nil, g.stateChanged, nil
 	}
-	id, generation, usable := state.tracker.Acquire(now)
+	id, generation, usable := state.primaryLease.Acquire(now)
 	if !usable {
 		return nil, g.stateChanged, nil
 	}
 	if server == nil {
-		state.tracker.Release()
+		state.primaryLease.Release()
 		return nil, g.stateChanged, nil
 	}
 	server.inFlight++
-	return &lease{gateway: g, generation: generation, group: need.Route.Group, primary: true, server: id}, nil, nil
+	return &lease{gateway: g, generation: generation, group: requirements.Route.Group, primary: true, server: id}, nil, nil
 }
 
 // usable reports whether a server may get requests that only it can run: its data
@@ -99,30 +100,30 @@
 // recent commits, and the log position that it must have applied. The result
 // primary is true if the read must go to the primary, and found is false if that
 // can't take it either.
-func (g *Gateway) chooseReplica(need session.Requirements) (server fleet.ServerID, minPosition fleet.Position, primary, found bool) {
+func (g *Gateway) chooseReplica(requirements session.Requirements) (server fleet.ServerID, minPosition fleet.Position, primary, found bool) {
 	now := g.config.Clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	state := g.group(need.Route.Group)
-	record := state.tracker.Record()
-	minPosition, sampled := state.positionSamples.RequiredPosition(need.StartedAt.Add(-need.Route.MaxAge.Duration()), need.LastWrite)
+	state := g.group(requirements.Route.Group)
+	record := state.primaryLease.Record()
+	minPosition, sampled := state.positionSamples.RequiredPosition(requirements.StartedAt.Add(-requirements.Route.MaxAge.Duration()), requirements.LastWrite)
 	if !sampled {
-		return "", minPosition, true, !need.Avoid[record.Primary]
+		return "", minPosition, true, !requirements.Avoid[record.Primary]
 	}
 	best, bestCost := fleet.ServerID(""), time.Duration(0)
 	for id, candidate := range g.servers {
 		isPrimary := id == record.Primary
-		if candidate.Group != need.Route.Group || need.Avoid[id] || g.isUnreachable(id) || candidate.Draining ||
+		if candidate.Group != requirements.Route.Group || requirements.Avoid[id] || g.isUnreachable(id) || candidate.Draining ||
 			!g.routing.IsInService(candidate.DataCentre) || !candidate.allowRead(now) || (!isPrimary && now.Before(candidate.lagBackoffUntil)) {
 			continue
 		}
-		cost := g.cost(now, candidate, need.Workspace, isPrimary)
+		cost := g.cost(now, candidate, requirements.Workspace, isPrimary)
 		if best == "" || cost < bestCost {
 			best, bestCost = id, cost
 		}
 	}
 	if best == "" {
-		return "", minPosition, true, !need.Avoid[record.Primary]
+		return "", minPosition, true, !requirements.Avoid[record.Primary]
 	}
 	if best == record.Primary {
 		return best, minPosition, true, true
@@ -133,10 +134,10 @@
 
 // lease acquires a connection for a lease, from the idle ones or by opening one. On
 // failure it ends the use of the server.
-func (g *Gateway) lease(need session.Requirements, l *lease) (session.Lease, *session.Error) {
+func (g *Gateway) lease(requirements session.Requirements, l *lease) (session.Lease, *session.Error) {
 	l.requestedAt = g.config.Clock()
 	conn, failure := g.pool.Acquire(l.server, pool.Request{
-		Deadline: need.Deadline.Add(-executionReserve), Priority: need.Route.Priority, Variables: need.Variables, Workspace: need.Workspace,
+		Deadline: requirements.Deadline.Add(-executionReserve), Priority: requirements.Route.Priority, Variables: requirements.Variables, Workspace: requirements.Workspace,
 	})
 	if failure == nil {
 		l.conn = conn
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -13,7 +13,7 @@
 type Settings struct {
 	DataCentre fleet.DataCentre
 	Instance   fleet.InstanceID
-	// KeyLease is how long keys are accepted after the sheet was last confirmed
+	// KeyLease is how long keys are accepted after the sheet was last verified
 	// to be the latest version.
 	KeyLease time.Duration
 	Listen   Listen
@@ -40,7 +40,7 @@
 	// Metrics serves counters and histograms over HTTP. If it is empty, they are
 	// not served.
 	Metrics string
-	// Peers is the address for requests of other instances: over UDP for permits
+	// Peers is the address for requests of other instances: over UDP for tokens
 	// from rate limit pools, and over TCP for table changes read from the store.
 	// If it is empty, this instance serves no such requests and sends none.
 	Peers string
--- a/group/bench_test.go
+++ b/group/bench_test.go
@@ -32,7 +32,7 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, servers := range []int{3, 5, 7, 9} {
 		view := benchView(now, servers)
-		need := group.ReadRequirement{MaxAge: 500 * time.Millisecond, Written: fleet.Position{Log: 1, Term: 1}}
+		requirement := group.ReadRequirement{MaxAge: 500 * time.Millisecond, Written: fleet.Position{Log: 1, Term: 1}}
 		observation := group.Observation{RespondedAt: now, RequestedAt: now, Server: "b", Status: view.Servers[1].Status}
 		for _, bench := range []struct {
 			name string
@@ -42,7 +42,7 @@
 			{"Commit", func() { group.DecideCommit(view, fleet.Position{Log: 1, Term: 1}) }},
 			{"Observe", func() { view.Observe(observation) }},
 			{"ReadCandidates", func() {
-				group.ReadCandidates(now, view, need, group.ReplicaSelection{Random: random, Strategy: group.SampledTwo})
+				group.ReadCandidates(now, view, requirement, group.ReplicaSelection{Random: random, Strategy: group.SampledTwo})
 			}},
 		} {
 			b.Run(fmt.Sprintf("%s/servers=%d", bench.name, servers), func(b *testing.B) {
--- a/group/choice_test.go
+++ b/group/choice_test.go
@@ -211,12 +211,12 @@
 	return time.Duration(t.workloadRandom.ExpFloat64() * mean)
 }
 
-func (t *choiceSimulation) startRead(instance int, need group.ReadRequirement, serviceTime time.Duration) {
-	choice := group.ReplicaSelection{Loads: t.loads[instance], Random: t.choiceRandom, Strategy: t.strategy}
+func (t *choiceSimulation) startRead(instance int, requirement group.ReadRequirement, serviceTime time.Duration) {
+	selection := group.ReplicaSelection{Loads: t.loads[instance], Random: t.choiceRandom, Strategy: t.strategy}
 	if t.multiDataCentre {
-		choice.Placement.Local = choiceDataCentre(instance)
+		selection.Placement.Local = choiceDataCentre(instance)
 	}
-	ids := group.ReadCandidates(time.Unix(1000, 0).Add(t.now), t.views[instance], need, choice)
+	ids := group.ReadCandidates(time.Unix(1000, 0).Add(t.now), t.views[instance], requirement, selection)
 	server := int(ids[0][0] - 'a')
 	if server != 0 {
 		t.replicaReads++
--- a/group/controller.go
+++ b/group/controller.go
@@ -91,7 +91,7 @@
 		return decision != Pending
 	})
 	if err != nil {
-		return Pending, &Error{Err: err, Kind: KindOutcomeUnknown, Op: "wait for commit"}
+		return Pending, &Error{Err: err, Kind: KindOutcomeUnknown, Op: "await commit"}
 	}
 	return decision, nil
 }
@@ -101,15 +101,15 @@
 // qualifies in time, the primary is the only candidate. The error is of
 // KindWriteLost if the session's writes are not part of the group's history,
 // and of KindStale if there is no candidate.
-func (c *Controller) AwaitFresh(ctx context.Context, need ReadRequirement, choice ReplicaSelection, timeout time.Duration) ([]fleet.ServerID, error) {
+func (c *Controller) AwaitFresh(ctx context.Context, requirement ReadRequirement, selection ReplicaSelection, timeout time.Duration) ([]fleet.ServerID, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		view, changed := c.config.Section.Watch()
-		if IsLost(view, need.Written) {
-			return nil, &Error{Kind: KindWriteLost, Op: "wait for a fresh server"}
+		if IsLost(view, requirement.Written) {
+			return nil, &Error{Kind: KindWriteLost, Op: "await fresh"}
 		}
-		servers := ReadCandidates(c.config.Clock.Now(), view, need, choice)
+		servers := ReadCandidates(c.config.Clock.Now(), view, requirement, selection)
 		if len(servers) > 0 && servers[0] != view.Primary {
 			return servers, nil
 		}
@@ -118,7 +118,7 @@
 			continue
 		}
 		if len(servers) == 0 {
-			return nil, &Error{Err: ctx.Err(), Kind: KindStale, Op: "wait for a fresh server"}
+			return nil, &Error{Err: ctx.Err(), Kind: KindStale, Op: "await fresh"}
 		}
 		return servers, nil
 	}
@@ -140,7 +140,7 @@
 		return ok
 	})
 	if err != nil {
-		return "", 0, &Error{Err: err, Kind: KindNoPrimary, Op: "wait for a primary"}
+		return "", 0, &Error{Err: err, Kind: KindNoPrimary, Op: "await primary"}
 	}
 	return server, term, nil
 }
--- a/group/controller_test.go
+++ b/group/controller_test.go
@@ -306,9 +306,9 @@
 		d := deploy(t, 3, 1)
 		i := d.instances[0]
 		position, _ := d.group.write("a")
-		choice := group.ReplicaSelection{Strategy: group.FreshnessDistance}
-		need := group.ReadRequirement{Written: position}
-		servers, err := i.AwaitFresh(t.Context(), need, choice, 100*time.Millisecond)
+		selection := group.ReplicaSelection{Strategy: group.FreshnessDistance}
+		requirement := group.ReadRequirement{Written: position}
+		servers, err := i.AwaitFresh(t.Context(), requirement, selection, 100*time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -341,8 +341,8 @@
 		if decision != group.NotRun || err != nil {
 			t.Errorf("decision %s, error %v after a later term, want %s", decision, err, group.NotRun)
 		}
-		need := group.ReadRequirement{Written: position}
-		if _, err = d.instances[0].AwaitFresh(t.Context(), need, group.ReplicaSelection{}, time.Second); kindOf(err) != group.KindWriteLost {
+		requirement := group.ReadRequirement{Written: position}
+		if _, err = d.instances[0].AwaitFresh(t.Context(), requirement, group.ReplicaSelection{}, time.Second); kindOf(err) != group.KindWriteLost {
 			t.Errorf("read after a lost write: %v, want %s", err, group.KindWriteLost)
 		}
 	})
--- a/group/freshness_test.go
+++ b/group/freshness_test.go
@@ -66,22 +66,22 @@
 
 func (m *freshnessModel) checkCandidates(t *rapid.T, random *rand.Rand) {
 	view := m.views[random.IntN(len(m.views))]
-	need := group.ReadRequirement{MaxAge: time.Duration(random.IntN(60)) * time.Millisecond}
+	requirement := group.ReadRequirement{MaxAge: time.Duration(random.IntN(60)) * time.Millisecond}
 	if len(m.written) > 0 {
-		need.Written = m.written[random.IntN(len(m.written))]
-		need.Seen = m.written[random.IntN(len(m.written))]
+		requirement.Written = m.written[random.IntN(len(m.written))]
+		requirement.Seen = m.written[random.IntN(len(m.written))]
 	}
-	choice := group.ReplicaSelection{Random: random, Strategy: strategies[random.IntN(len(strategies))]}
-	for _, id := range group.ReadCandidates(m.now, view, need, choice) {
+	selection := group.ReplicaSelection{Random: random, Strategy: strategies[random.IntN(len(strategies))]}
+	for _, id := range group.ReadCandidates(m.now, view, requirement, selection) {
 		server, _ := view.Server(id)
 		history := server.Status.History
-		if id != view.Primary && !history.Contains(need.Written) {
-			t.Fatalf("candidate %s does not contain the written position %v", id, need.Written)
+		if id != view.Primary && !history.Contains(requirement.Written) {
+			t.Fatalf("candidate %s does not contain the written position %v", id, requirement.Written)
 		}
-		if seen := group.TruncateToForkPoint(view, need.Seen); id != view.Primary && !history.Contains(seen) {
+		if seen := group.TruncateToForkPoint(view, requirement.Seen); id != view.Primary && !history.Contains(seen) {
 			t.Fatalf("candidate %s does not contain the read position %v", id, seen)
 		}
-		if need.MaxAge == 0 {
+		if requirement.MaxAge == 0 {
 			continue
 		}
 		if id == view.Primary {
@@ -91,8 +91,8 @@
 				}
 			}
 		}
-		if old := m.acknowledgedBy(m.now.Add(-need.MaxAge - time.Millisecond)); server.Status.Log.Compare(old) < 0 {
-			t.Fatalf("candidate %s ends at %v, but %v was acknowledged more than %v ago", id, server.Status.Log, old, need.MaxAge)
+		if old := m.acknowledgedBy(m.now.Add(-requirement.MaxAge - time.Millisecond)); server.Status.Log.Compare(old) < 0 {
+			t.Fatalf("candidate %s ends at %v, but %v was acknowledged more than %v ago", id, server.Status.Log, old, requirement.MaxAge)
 		}
 	}
 	if position, ok := group.DecideBarrier(view, m.now.Add(-20*time.Millisecond)); ok {
@@ -127,10 +127,10 @@
 	view := healthyView(now, map[fleet.ServerID]fleet.LogPosition{"a": 20, "b": 20, "c": 10})
 	busy := []group.Load{{Outstanding: 2, Server: "b"}, {Outstanding: 1, Server: "c"}}
 	for _, tc := range []struct {
-		name   string
-		choice group.ReplicaSelection
-		need   group.ReadRequirement
-		want   []fleet.ServerID
+		name        string
+		selection   group.ReplicaSelection
+		requirement group.ReadRequirement
+		want        []fleet.ServerID
 	}{
 		{"LeastBusyFirst", group.ReplicaSelection{Loads: busy, Strategy: group.FreshnessDistance}, group.ReadRequirement{}, []fleet.ServerID{"c", "b", "a"}},
 		{"NearestFirst", group.ReplicaSelection{Placement: group.Placement{Local: "3"}, Strategy: group.FreshnessDistance}, group.ReadRequirement{}, []fleet.ServerID{"c", "b", "a"}},
@@ -141,7 +141,7 @@
 		{"UnknownTerm", group.ReplicaSelection{Strategy: group.FreshnessDistance}, group.ReadRequirement{Written: fleet.Position{Log: 1, Term: 2}}, []fleet.ServerID{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if diff := cmp.Diff(tc.want, group.ReadCandidates(now, view, tc.need, tc.choice)); diff != "" {
+			if diff := cmp.Diff(tc.want, group.ReadCandidates(now, view, tc.requirement, tc.selection)); diff != "" {
 				t.Errorf("candidates (-want +got):\n%s", diff)
 			}
 		})
--- a/group/strategy.go
+++ b/group/strategy.go
@@ -54,8 +54,8 @@
 }
 
 // outstanding returns the number of outstanding requests on a server.
-func (c ReplicaSelection) outstanding(server fleet.ServerID) int {
-	for _, load := range c.Loads {
+func (s ReplicaSelection) outstanding(server fleet.ServerID) int {
+	for _, load := range s.Loads {
 		if load.Server == server {
 			return load.Outstanding
 		}
@@ -67,8 +67,8 @@
 // the order in which to try them. Unreachable servers and replicas that are not
 // eligible by placement are excluded. The primary comes last if it qualifies.
 // The result is empty if no server is known to be fresh enough.
-func ReadCandidates(now time.Time, view View, need ReadRequirement, choice ReplicaSelection) []fleet.ServerID {
-	seen := TruncateToForkPoint(view, need.Seen)
+func ReadCandidates(now time.Time, view View, requirement ReadRequirement, selection ReplicaSelection) []fleet.ServerID {
+	seen := TruncateToForkPoint(view, requirement.Seen)
 	var buffer [commonGroupSize]*ServerView
 	replicas := buffer[:0]
 	primary := false
@@ -77,16 +77,16 @@
 		if !server.Reachable() {
 			continue
 		}
-		if !isFresh(&view, server, need.Written, seen) || !meetsMaxAge(now, &view, server, need) {
+		if !isFresh(&view, server, requirement.Written, seen) || !meetsMaxAge(now, &view, server, requirement) {
 			continue
 		}
 		if server.Server == view.Primary {
 			primary = true
-		} else if choice.Placement.IsEligible(server.Member) {
+		} else if selection.Placement.IsEligible(server.Member) {
 			replicas = append(replicas, server)
 		}
 	}
-	choice.sort(replicas)
+	selection.sort(replicas)
 	ids := make([]fleet.ServerID, 0, len(replicas)+1)
 	for _, replica := range replicas {
 		ids = append(ids, replica.Server)
@@ -97,35 +97,35 @@
 	return ids
 }
 
-func meetsMaxAge(now time.Time, view *View, server *ServerView, need ReadRequirement) bool {
-	return need.MaxAge <= 0 || hasAppliedSince(view, server, now.Add(-need.MaxAge))
+func meetsMaxAge(now time.Time, view *View, server *ServerView, requirement ReadRequirement) bool {
+	return requirement.MaxAge <= 0 || hasAppliedSince(view, server, now.Add(-requirement.MaxAge))
 }
 
 // sort orders replicas by the strategy.
-func (c ReplicaSelection) sort(replicas []*ServerView) {
-	if c.Random != nil || c.Strategy != FreshnessDistance {
-		c.Random.Shuffle(len(replicas), func(i, j int) { replicas[i], replicas[j] = replicas[j], replicas[i] })
+func (s ReplicaSelection) sort(replicas []*ServerView) {
+	if s.Random != nil || s.Strategy != FreshnessDistance {
+		s.Random.Shuffle(len(replicas), func(i, j int) { replicas[i], replicas[j] = replicas[j], replicas[i] })
 	}
-	switch c.Strategy {
+	switch s.Strategy {
 	case FreshnessDistance:
 		slices.SortStableFunc(replicas, func(a, b *ServerView) int {
-			return cmp.Or(c.compareLoad(a, b), c.compareDistance(a, b))
+			return cmp.Or(s.compareLoad(a, b), s.compareDistance(a, b))
 		})
 	case LeastOutstanding:
-		slices.SortStableFunc(replicas, c.compareLoad)
+		slices.SortStableFunc(replicas, s.compareLoad)
 	case SampledTwo:
-		slices.SortStableFunc(replicas[:min(2, len(replicas))], c.compareLoad)
+		slices.SortStableFunc(replicas[:min(2, len(replicas))], s.compareLoad)
 	}
 }
 
-func (c ReplicaSelection) compareLoad(a, b *ServerView) int {
-	return cmp.Compare(c.outstanding(a.Server), c.outstanding(b.Server))
+func (s ReplicaSelection) compareLoad(a, b *ServerView) int {
+	return cmp.Compare(s.outstanding(a.Server), s.outstanding(b.Server))
 }
 
 // compareDistance orders servers in this instance's data centre first, then by
 // round-trip time in buckets of roundTripBucket.
-func (c ReplicaSelection) compareDistance(a, b *ServerView) int {
-	if aIsLocal := c.Placement.isLocal(a.Member); aIsLocal != c.Placement.isLocal(b.Member) {
+func (s ReplicaSelection) compareDistance(a, b *ServerView) int {
+	if aIsLocal := s.Placement.isLocal(a.Member); aIsLocal != s.Placement.isLocal(b.Member) {
 		if aIsLocal {
 			return -1
 		}
--- a/peer/controller.go
+++ b/peer/controller.go
@@ -121,7 +121,7 @@
 		delete(c.acceptances, version)
 		c.mu.Unlock()
 	}()
-	return c.await(ctx, "wait for a majority to hold the sheet version", func() bool {
+	return c.await(ctx, "await majority", func() bool {
 		acceptance.Record(c.self, c.ledger.Versions())
 		return acceptance.Accepted(c.ledger.Versions(), c.ledger.Quorums()...)
 	})
@@ -161,7 +161,7 @@
 func (c *Controller) OfferSheet(version fleet.SheetVersion, content []byte) error {
 	limits, err := c.config.Limits(content)
 	if err != nil {
-		return &Error{Err: err, Kind: KindConfig, Op: "read limits from the sheet"}
+		return &Error{Err: err, Kind: KindConfig, Op: "offer sheet"}
 	}
 	limits.Version = version
 	c.mu.Lock()
--- a/peer/ledger.go
+++ b/peer/ledger.go
@@ -105,8 +105,7 @@
 }
 
 // AdoptLimits replaces the limits by those of a newer sheet version and scales
-// the shares. Versions that are not
-// newer are ignored.
+// the shares. Versions that are not newer are ignored.
 func (l *Ledger) AdoptLimits(now time.Time, limits Limits) {
 	if limits.Version <= l.limits.Version {
 		return
@@ -280,7 +279,7 @@
 	return l.roster.Generation
 }
 
-// NeedsNewGeneration reports whether shares were lost, or given to an instance
+// NeedsReset reports whether shares were lost, or given to an instance
 // outside the roster. Only a new generation divides them among the members again.
 func (l *Ledger) NeedsNewGeneration() bool {
 	return l.lostShares || l.gaveToNonMember
--- a/peer/membership.go
+++ b/peer/membership.go
@@ -193,8 +193,8 @@
 // RecordRoster adds the members of the roster and of the previous one to the
 // known members, and deletes old records of other runs. A member is an earlier
 // run, and so replaced, if it is another run of this instance, or if another run
-// of its instance was heard from recently.
-// Members that were not heard from yet start as silent.
+// of its instance was heard from recently. Members that were not heard from yet
+// start as silent.
 func (m *Membership) RecordRoster(now time.Time, roster Roster) {
 	known := slices.Concat(roster.Members, roster.Previous)
 	for member, at := range m.replaced {
--- a/peer/membership_test.go
+++ b/peer/membership_test.go
@@ -32,7 +32,7 @@
 	m.RecordMessage(start, fresh, true, false, nil)
 	m.RecordMessage(start, peerB, true, false, nil)
 	if diff := cmp.Diff([]peer.Member{selfA, fresh}, m.Live(start)); diff != "" {
-		t.Errorf("live after an answer (-want +got):\n%s", diff)
+		t.Errorf("live after a response (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(peer.StateReplaced, m.State(start, peerB)); diff != "" {
 		t.Errorf("state of the earlier run (-want +got):\n%s", diff)
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -26,7 +26,7 @@
 	initialDialBackoff = 40 * time.Millisecond
 	maxDialBackoff     = 500 * time.Millisecond
 	// reusePreferencePeriod is how long the first waiting request can be passed
-	// over in favor of requests of the workspace for which the released connection
+	// over in favour of requests of the workspace for which the released connection
 	// was opened. They can reuse it; another workspace needs a new connection.
 	reusePreferencePeriod = 60 * time.Millisecond
 )
@@ -199,7 +199,7 @@
 	for {
 		now := p.clock()
 		if !now.Before(request.Deadline) {
-			return nil, &session.RunError{Kind: session.KindBusy, Text: "timed out waiting for a connection: all connections to the server are in use, or it accepts no more"}
+			return nil, &session.RunError{Kind: session.KindBusy, Text: "all connections to the server are in use"}
 		}
 		conn, w, failure := p.reserve(now, server, request)
 		if failure != nil {
@@ -234,7 +234,7 @@
 // itself sends. It goes before all waiting requests, so that the status of a server
 // can be queried although all its connections are in use.
 func (p *Pool) AcquireAny(deadline time.Time, server fleet.ServerID) (*PooledConn, *session.RunError) {
-	busy := &session.RunError{Kind: session.KindBusy, Text: "no connection to the server is available for a control query"}
+	busy := &session.RunError{Kind: session.KindBusy, Text: "no connection to the server is free"}
 	now := p.clock()
 	p.mu.Lock()
 	s := p.servers[server]
@@ -277,7 +277,7 @@
 	defer p.mu.Unlock()
 	s := p.servers[server]
 	if s == nil {
-		return nil, nil, &session.RunError{Kind: session.KindBusy, Text: "the server is not in the configuration of the connection pool"}
+		return nil, nil, &session.RunError{Kind: session.KindBusy, Text: "the server is not known"}
 	}
 	s.raiseLimit(now)
 	if conn := s.takeIdle(request.Workspace, request.Variables); conn != nil {
@@ -342,7 +342,7 @@
 	}
 	p.mu.Unlock()
 	if s == nil {
-		return nil, &session.RunError{Kind: session.KindBusy, Text: "the server was removed from the configuration of the connection pool"}, false
+		return nil, &session.RunError{Kind: session.KindBusy, Text: "the server is gone"}, false
 	}
 	conn, failure := p.dialer.Dial(deadline, target, workspace)
 	if failure == nil {
--- a/primacy/model_test.go
+++ b/primacy/model_test.go
@@ -52,7 +52,7 @@
 	promotions    int
 }
 
-// rowState is an instance's member row.
+// rowState is an instance's membership row.
 type rowState struct {
 	// at is when the row was sent.
 	at             time.Time
@@ -129,7 +129,7 @@
 
 func (m *model) answerLost() bool { return m.randomBetween(0, 4) == 0 }
 
-// heartbeat writes the instance's member row. The answer may be lost.
+// heartbeat writes the instance's membership row. The answer may be lost.
 func (m *model) heartbeat(i *modelInstance) {
 	sent := m.now
 	if m.now.Before(i.writesBlockedUntil) {
--- a/primacy/presence.go
+++ b/primacy/presence.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Presence tracks when an instance wrote its own member row. A change of
+// Presence tracks when an instance wrote its own membership row. A change of
 // primary waits only for the instances whose rows are recent, so the instance
 // may use a primary only while its row is. It isn't safe for concurrent use.
 type Presence struct {
--- a/session/retry_test.go
+++ b/session/retry_test.go
@@ -29,7 +29,7 @@
 				test.now = testStart
 			}
 			if got := test.attempt.MayRetry(test.now); got != test.want {
-				t.Errorf("MayRepeat() = %v, want %v", got, test.want)
+				t.Errorf("MayRetry() = %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/session/session.go
+++ b/session/session.go
@@ -124,7 +124,7 @@
 // Do runs one statement and returns its result.
 func (s *Session) Do(statement Statement) Result {
 	if s.state == StateFailed && statement.Kind != StatementCommit && statement.Kind != StatementRollback {
-		return s.errorResult(&Error{Err: errors.New("the transaction has failed: only a commit or rollback is accepted"), Kind: KindMalformed, Op: "run"})
+		return s.errorResult(&Error{Err: errors.New("the transaction failed; end it first"), Kind: KindMalformed, Op: "run"})
 	}
 	switch statement.Kind {
 	case StatementBegin, StatementBeginRead:
@@ -146,7 +146,7 @@
 		s.setVariable(statement.Name, statement.Value)
 		return s.emptyResult()
 	default:
-		return s.errorResult(&Error{Err: errors.New("unsupported kind of statement"), Kind: KindMalformed, Op: "run"})
+		return s.errorResult(&Error{Err: errors.New("unknown statement"), Kind: KindMalformed, Op: "run"})
 	}
 }
 
@@ -170,7 +170,7 @@
 func (s *Session) begin(statement Statement) Result {
 	now := s.config.Clock()
 	if s.state != StateIdle {
-		return s.errorResult(&Error{Err: errors.New("a transaction is already open"), Kind: KindMalformed, Op: "begin"})
+		return s.errorResult(&Error{Err: errors.New("a transaction is open"), Kind: KindMalformed, Op: "begin"})
 	}
 	access, err := s.admit(now)
 	if err != nil {
@@ -324,7 +324,7 @@
 		command.MinPosition = lease.MinPosition()
 	}
 	if requirements.Write && !lease.Exclusive(s.config.Clock()) {
-		return Reply{}, &Error{Err: errors.New("the primary may have been replaced; the statement was not sent"), Kind: KindReadOnly, Op: "run"}
+		return Reply{}, &Error{Err: errors.New("the primary may have been replaced"), Kind: KindReadOnly, Op: "run"}
 	}
 	reply, failure := lease.Run(deadline, []Command{command})
 	if failure != nil {
@@ -379,7 +379,7 @@
 	}
 	template, known := s.prepared[statement.Name]
 	if !known {
-		return nil, &Error{Err: errors.New("the prepared statement does not exist in this session"), Kind: KindNoStatement, Op: "execute"}
+		return nil, &Error{Err: errors.New("no such prepared statement"), Kind: KindNoStatement, Op: "execute"}
 	}
 	return &template, nil
 }
--- a/session/statement.go
+++ b/session/statement.go
@@ -43,7 +43,7 @@
 
 // Template is the definition of a prepared statement.
 type Template struct {
-	// Text is the text of the statement without its arguments.
+	// Body is the text of the statement without its arguments.
 	Body string
 	// Write says whether the statement writes.
 	Write bool
--- a/session/transaction.go
+++ b/session/transaction.go
@@ -14,7 +14,7 @@
 func (s *Session) runInTransaction(start time.Time, statement Statement, template *Template) Result {
 	t := s.transaction
 	if isWrite(statement, template) && !t.requirements.Write {
-		return s.failStatement(start, statement, &Error{Err: errors.New("cannot write in a read-only transaction"), Kind: KindReadOnly, Op: "run"})
+		return s.failStatement(start, statement, &Error{Err: errors.New("the transaction only reads"), Kind: KindReadOnly, Op: "run"})
 	}
 	deadline := start.Add(t.access.Route.StatementTimeout.Duration())
 	attempts := 1
@@ -52,7 +52,7 @@
 		begin := Command{Statement: Statement{Kind: kind}, MinPosition: lease.MinPosition()}
 		if t.requirements.Write && !lease.Exclusive(s.config.Clock()) {
 			lease.Release()
-			return Reply{}, &Error{Err: errors.New("the primary may have been replaced; the transaction was not begun"), Kind: KindReadOnly, Op: "begin"}
+			return Reply{}, &Error{Err: errors.New("the primary may have been replaced"), Kind: KindReadOnly, Op: "begin"}
 		}
 		if err := s.syncConnection(lease, t.requirements.Deadline, template, []Command{begin}); err != nil {
 			s.rollback(lease)
@@ -91,7 +91,7 @@
 			kind = KindAborted
 		}
 		s.state = StateIdle
-		return s.errorResult(&Error{Err: errors.New("there is no open transaction to commit"), Kind: kind, Op: "commit"})
+		return s.errorResult(&Error{Err: errors.New("no transaction can be committed"), Kind: kind, Op: "commit"})
 	}
 	reply, err := s.commitOn(t, start, statement)
 	s.observe(start, s.config.Clock(), statement, t.requirements, 1, err)
@@ -119,7 +119,7 @@
 	}
 	s.lastServer = t.lease.Server()
 	if t.wrote && !t.lease.Exclusive(start) {
-		return Reply{}, &Error{Err: errors.New("the primary may have been replaced; the commit was not sent"), Kind: KindAborted, Op: "commit"}
+		return Reply{}, &Error{Err: errors.New("the primary may have been replaced"), Kind: KindAborted, Op: "commit"}
 	}
 	reply, failure := t.lease.Run(deadline, []Command{{Statement: statement}})
 	if failure != nil {
@@ -131,7 +131,7 @@
 		return Reply{}, err
 	}
 	if t.wrote && !t.lease.Exclusive(s.config.Clock()) {
-		return Reply{}, &Error{Err: errors.New("the primary may have been replaced before it answered; the outcome is unknown"), Kind: KindUnknown, Op: "commit"}
+		return Reply{}, &Error{Err: errors.New("the primary may have been replaced before it answered"), Kind: KindUnknown, Op: "commit"}
 	}
 	return reply, nil
 }
--- a/workspace/compare.go
+++ b/workspace/compare.go
@@ -57,7 +57,7 @@
 	// and a lease with clock drift.
 	instanceLossStart = 40 * time.Second
 	instanceLossEnd   = 54 * time.Second
-	// The shared table is unavailable between these times.
+	// tableOutageStart and tableOutageEnd bound the outage of the shared table.
 	tableOutageStart = 20 * time.Second
 	tableOutageEnd   = 30 * time.Second
 )
--- a/workspace/divisionmodel_test.go
+++ b/workspace/divisionmodel_test.go
@@ -51,8 +51,9 @@
 	limit     workspace.Limit
 	rows      map[fleet.InstanceID]modelRow
 
-	// Deliberate faults: holding shares immediately after joining, and admitting
-	// requests without a recent read of the membership rows.
+	// joinImmediately and admitOnStaleRows are deliberate faults: holding shares
+	// immediately after joining, and admitting requests without a recent read of
+	// the membership rows.
 	joinImmediately, admitOnStaleRows bool
 }
 
--- a/workspace/queue.go
+++ b/workspace/queue.go
@@ -42,8 +42,8 @@
 	size int
 }
 
-// NewQueue returns an empty queue that holds at most limit entries of each workspace,
-// so that one workspace can't take the space of the others.
+// NewQueue returns an empty queue that holds at most maxPerWorkspace entries of each
+// workspace, so that one workspace can't take the space of the others.
 func NewQueue[T any](maxPerWorkspace int) *Queue[T] {
 	return &Queue[T]{queues: make(map[fleet.WorkspaceID]*workspaceQueue[T]), maxPerWorkspace: maxPerWorkspace}
 }
