--- a/caller/authenticator.go
+++ b/caller/authenticator.go
@@ -45,7 +45,7 @@
 
 // Final takes the caller's last SCRAM message. It returns the server's last
 // message and the key that matched.
-func (a *Authenticator) Final(message string) (answer string, key KeyID, err error) {
+func (a *Authenticator) HandleClientFinal(message string) (answer string, key KeyID, err error) {
 	matched := -1
 	for i, conversation := range a.conversations {
 		// Each conversation runs to its end, so that the time taken doesn't
@@ -62,7 +62,7 @@
 }
 
 // First takes the caller's first SCRAM message and returns the challenge.
-func (a *Authenticator) First(message string) (string, error) {
+func (a *Authenticator) HandleClientFirst(message string) (string, error) {
 	var challenge string
 	for _, conversation := range a.conversations {
 		text, err := conversation.Step(message)
@@ -75,7 +75,7 @@
 }
 
 // Password checks a key that came in cleartext and returns which one it is.
-func (a *Authenticator) Password(password string) (KeyID, error) {
+func (a *Authenticator) CheckPassword(password string) (KeyID, error) {
 	client, err := scram.SHA256.NewClient("", password, "")
 	if err != nil {
 		return "", authenticationError()
--- a/caller/check.go
+++ b/caller/check.go
@@ -9,7 +9,7 @@
 // check refuses what can't run over a shared connection, and returns the SQL
 // to send. It acts on the proxy's own settings.
 func (s *session) check(class *Classification, sql string) (string, error) {
-	if refused := class.Refused(); refused != "" {
+	if refused := class.RefusalReason(); refused != "" {
 		return "", unsupported(refused)
 	}
 	if class.usesSequenceState() && s.tx == backend.TxIdle && !s.pinned {
@@ -183,7 +183,7 @@
 
 func (c *Classification) usesSequenceState() bool {
 	for s := range c.statements {
-		if s.Sequence {
+		if s.ReadsSequenceState {
 			return true
 		}
 	}
--- a/caller/error.go
+++ b/caller/error.go
@@ -35,14 +35,14 @@
 	KindPositionLost Kind = "PositionLost"
 	// KindProtocol means that the caller broke the protocol.
 	KindProtocol Kind = "Protocol"
-	// KindQueue means that the queue is full or the deadline would pass.
-	KindQueue Kind = "Queue"
+	// KindCapacity means that the queue is full or the deadline would pass.
+	KindCapacity Kind = "Queue"
 	// KindRateExceeded means that the workspace is over its rate.
 	KindRateExceeded Kind = "RateExceeded"
-	// KindToken means that a session token or another parameter is malformed.
-	KindToken Kind = "Token"
-	// KindUnknown means that the outcome of a write isn't known.
-	KindUnknown Kind = "Unknown"
+	// KindInvalidParameter means that a session token or another parameter is malformed.
+	KindInvalidParameter Kind = "Token"
+	// KindUnknownOutcome means that the outcome of a write isn't known.
+	KindUnknownOutcome Kind = "Unknown"
 	// KindUnknownDatabase means that there is no such database.
 	KindUnknownDatabase Kind = "UnknownDatabase"
 	// KindUnsupported means that the statement can't be carried over shared connections.
@@ -96,13 +96,13 @@
 		return "57P03"
 	case KindProtocol:
 		return "08P01"
-	case KindQueue:
+	case KindCapacity:
 		return "53300"
 	case KindRateExceeded:
 		return "53400"
-	case KindToken:
+	case KindInvalidParameter:
 		return "22023"
-	case KindUnknown:
+	case KindUnknownOutcome:
 		return "40003"
 	case KindUnknownDatabase:
 		return "3D000"
--- a/caller/events.go
+++ b/caller/events.go
@@ -5,7 +5,7 @@
 // EventName names what happened.
 type EventName string
 
-// Events that this package records.
+// EventRecorder that this package records.
 const (
 	// EventAuthenticationFailed means that no key of the workspace matched.
 	EventAuthenticationFailed EventName = "AuthenticationFailed"
@@ -37,8 +37,8 @@
 	Workspace fleet.WorkspaceID
 }
 
-// Events records what happens. It must not block.
-type Events interface {
+// EventRecorder records what happens. It must not block.
+type EventRecorder interface {
 	// Record records one event.
 	Record(event Event)
 }
--- a/caller/fake_test.go
+++ b/caller/fake_test.go
@@ -406,7 +406,7 @@
 	if replica != nil {
 		d.router.replica = newFakeServer(replica)
 	}
-	config := caller.Config{Committer: d.policy, Credentials: d.policy, Gate: d.policy, Router: d.router}
+	config := caller.Config{CommitWaiter: d.policy, Credentials: d.policy, AdmissionController: d.policy, Router: d.router}
 	for _, apply := range change {
 		apply(&config)
 	}
--- a/caller/gate.go
+++ b/caller/gate.go
@@ -16,8 +16,8 @@
 	Serving bool
 }
 
-// Gate admits requests.
-type Gate interface {
+// AdmissionController admits requests.
+type AdmissionController interface {
 	// Admit decides on one request of a workspace.
 	Admit(now time.Time, workspace fleet.WorkspaceID) Decision
 }
--- a/caller/limit_test.go
+++ b/caller/limit_test.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestFlood guards against small messages without Sync, and prepared
+// TestMemoryLimits guards against small messages without Sync, and prepared
 // statements, that take unbounded memory.
-func TestFlood(t *testing.T) {
+func TestMemoryLimits(t *testing.T) {
 	d := deploy(t, writes, nil, func(config *caller.Config) { config.MaxMessage = 4 << 20 })
 	hijacked, err := d.connect(t).PgConn().Hijack()
 	if err != nil {
--- a/caller/opening.go
+++ b/caller/opening.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return "", err
 	}
-	return authenticator.Password(strings.TrimSuffix(string(body), "\x00"))
+	return authenticator.CheckPassword(strings.TrimSuffix(string(body), "\x00"))
 }
 
 func authenticateSCRAM(session *session, authenticator *Authenticator) (KeyID, error) {
@@ -95,7 +95,7 @@
 	if err := initial.Decode(body); err != nil || initial.AuthMechanism != "SCRAM-SHA-256" {
 		return "", &Error{Op: "authenticate", Kind: KindProtocol, Err: errors.New("malformed SASL response")}
 	}
-	challenge, err := authenticator.First(string(initial.Data))
+	challenge, err := authenticator.HandleClientFirst(string(initial.Data))
 	if err != nil {
 		return "", err
 	}
@@ -105,7 +105,7 @@
 	if body, err = session.authMessage(); err != nil {
 		return "", err
 	}
-	answer, key, err := authenticator.Final(string(body))
+	answer, key, err := authenticator.HandleClientFinal(string(body))
 	if err != nil {
 		return "", err
 	}
@@ -222,7 +222,7 @@
 	_ = conn.SetDeadline(s.config.Now().Add(refusalTimeout))
 	conn, _, err := s.negotiate(conn)
 	if err == nil {
-		err = &Error{Op: "start up", Kind: KindQueue, Err: errors.New("too many connections")}
+		err = &Error{Op: "start up", Kind: KindCapacity, Err: errors.New("too many connections")}
 	}
 	_ = s.reject(conn, err)
 }
@@ -287,7 +287,7 @@
 	case strings.HasPrefix(name, settingPrefix):
 		return s.ownSetting(name, parameter.Value)
 	case !isSettingName(name):
-		return &Error{Op: "start up", Kind: KindToken, Err: fmt.Errorf("start-up parameter %q isn't a setting", name)}
+		return &Error{Op: "start up", Kind: KindInvalidParameter, Err: fmt.Errorf("start-up parameter %q isn't a setting", name)}
 	case isRefusedSetting(name):
 		return &Error{Op: "start up", Kind: KindUnsupported, Err: fmt.Errorf("setting %s isn't supported over shared connections", name)}
 	}
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -199,7 +199,7 @@
 // holdMore keeps back what follows the CommandComplete of a COMMIT.
 func (s *session) holdMore(conn *backend.Conn, frame backend.Frame) error {
 	if len(s.held)+frame.Size > maxHeld {
-		return &Error{Op: "relay", Kind: KindUnknown, Outcome: OutcomeUnknown, Err: errors.New("too many rows follow a COMMIT in the same request")}
+		return &Error{Op: "relay", Kind: KindUnknownOutcome, Outcome: OutcomeUnknown, Err: errors.New("too many rows follow a COMMIT in the same request")}
 	}
 	body, err := conn.Body()
 	if err != nil {
--- a/caller/relay_test.go
+++ b/caller/relay_test.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestTokenRoams guards against a session position that is lost or changed
+// TestTokenHandover guards against a session position that is lost or changed
 // when it is handed over, and against tokens of other groups.
-func TestTokenRoams(t *testing.T) {
+func TestTokenHandover(t *testing.T) {
 	d := deploy(t, writes, readOnly)
 	token := func(text string) func(*pgx.ConnConfig) {
 		return func(config *pgx.ConnConfig) { config.RuntimeParams[caller.TokenParameter] = text }
--- a/caller/request.go
+++ b/caller/request.go
@@ -70,7 +70,7 @@
 			r.statements++
 		}
 		r.commits = r.commits || s.Verb == VerbCommit
-		r.touches = r.touches || s.Touches
+		r.touches = r.touches || s.MayChangeSession
 	}
 }
 
@@ -228,7 +228,7 @@
 		s.stop("the key was withdrawn", config.Now())
 		return &Error{Op: "admit", Kind: KindClosed, Err: errors.New("the key was withdrawn")}
 	}
-	decision := config.Gate.Admit(config.Now(), s.workspace)
+	decision := config.AdmissionController.Admit(config.Now(), s.workspace)
 	switch {
 	case !decision.Serving:
 		return &Error{Op: "admit", Kind: KindNotServing, Err: errors.New("this instance isn't serving"), RetryAfter: decision.RetryAfter}
@@ -384,7 +384,7 @@
 
 // acknowledge passes on the held answer of a write once its commit is durable.
 func (s *session) acknowledge(position fleet.Position, result answer) error {
-	outcome, err := s.server.config.Committer.AwaitCommit(s.ctx, s.group, position)
+	outcome, err := s.server.config.CommitWaiter.AwaitCommit(s.ctx, s.group, position)
 	switch {
 	case err == nil && outcome == OutcomeCommitted:
 		s.tellToken(s.token.moveWritten(position))
@@ -475,9 +475,9 @@
 	if errors.As(err, &failed) {
 		switch failed.Kind {
 		case backend.KindDeadline:
-			return &Error{Op: "acquire", Kind: KindQueue, Err: errors.New("no backend connection became free before the deadline")}
+			return &Error{Op: "acquire", Kind: KindCapacity, Err: errors.New("no backend connection became free before the deadline")}
 		case backend.KindQueueFull:
-			return &Error{Op: "acquire", Kind: KindQueue, Err: errors.New("too many requests wait for a backend connection")}
+			return &Error{Op: "acquire", Kind: KindCapacity, Err: errors.New("too many requests wait for a backend connection")}
 		}
 	}
 	return lostError("no backend server can take the request")
@@ -487,7 +487,7 @@
 func adoptError(err error) error {
 	var failed *backend.Error
 	if errors.As(err, &failed) && failed.Kind == backend.KindServer {
-		return &Error{Op: "acquire", Kind: KindToken, Err: errors.New("the session's settings can't be set: " + failed.Err.Error())}
+		return &Error{Op: "acquire", Kind: KindInvalidParameter, Err: errors.New("the session's settings can't be set: " + failed.Err.Error())}
 	}
 	return lostError("the backend server was lost")
 }
@@ -497,5 +497,5 @@
 }
 
 func unknownError(text string) error {
-	return &Error{Op: "relay", Kind: KindUnknown, Outcome: OutcomeUnknown, Err: errors.New(text)}
+	return &Error{Op: "relay", Kind: KindUnknownOutcome, Outcome: OutcomeUnknown, Err: errors.New(text)}
 }
--- a/caller/router.go
+++ b/caller/router.go
@@ -69,8 +69,8 @@
 	Barrier(ctx context.Context, group fleet.GroupID, arrivedAt time.Time) (fleet.Position, error)
 }
 
-// Committer finds out whether a commit is durable.
-type Committer interface {
+// CommitWaiter finds out whether a commit is durable.
+type CommitWaiter interface {
 	// AwaitCommit waits until the outcome of a commit at the position is
 	// Committed or NotRun, or returns Unknown at its bound.
 	AwaitCommit(ctx context.Context, group fleet.GroupID, position fleet.Position) (Outcome, error)
--- a/caller/routes_test.go
+++ b/caller/routes_test.go
@@ -20,10 +20,10 @@
 
 func (r *fixedRoutes) Route(fleet.GroupID) (sheet.Route, bool) { return r.route, true }
 
-// TestRoutesOfReads guards against a read that a route sends to a replica
+// TestReadRoutes guards against a read that a route sends to a replica
 // although it must miss no commit, and against a route that overrides what the
 // caller asks for.
-func TestRoutesOfReads(t *testing.T) {
+func TestReadRoutes(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		route sheet.Route
--- a/caller/server.go
+++ b/caller/server.go
@@ -43,14 +43,14 @@
 	Barrier Barrier
 	// CancelForwarder passes on cancel requests. Nil means none.
 	CancelForwarder CancelForwarder
-	// Committer finds out whether commits are durable.
-	Committer Committer
+	// CommitWaiter finds out whether commits are durable.
+	CommitWaiter CommitWaiter
 	// Credentials knows the keys of workspaces.
 	Credentials Credentials
-	// Events records what happens. Nil means nothing is recorded.
-	Events Events
-	// Gate admits requests.
-	Gate Gate
+	// EventRecorder records what happens. Nil means nothing is recorded.
+	EventRecorder EventRecorder
+	// AdmissionController admits requests.
+	AdmissionController AdmissionController
 	// IdleTimeout closes a session that sends nothing. Zero means one hour.
 	IdleTimeout time.Duration
 	// Jitter returns a random number in [0, 1) for waits before reruns. Nil
@@ -84,8 +84,8 @@
 	// TransactionTimeout closes a session that sends nothing inside a
 	// transaction, because it holds a connection. Zero means 1 minute.
 	TransactionTimeout time.Duration
-	// WithdrawBound bounds a transaction whose key was withdrawn. Zero means 3 s.
-	WithdrawBound time.Duration
+	// WithdrawalTimeout bounds a transaction whose key was withdrawn. Zero means 3 s.
+	WithdrawalTimeout time.Duration
 	// WriteTimeout bounds each write to a caller. Zero means 30 s.
 	WriteTimeout time.Duration
 }
@@ -149,12 +149,12 @@
 
 // Recheck asks for each session whether its key is still valid, and closes the
 // idle ones whose key isn't. The others are closed at the end of their
-// statement or transaction, at most WithdrawBound later.
-func (s *Server) Recheck() {
+// statement or transaction, at most WithdrawalTimeout later.
+func (s *Server) RecheckKeys() {
 	for _, session := range s.snapshot() {
 		if !s.config.Credentials.KeyValid(session.workspace, session.key) {
 			s.record(Event{Group: session.group, Name: EventKeyWithdrawn, Workspace: session.workspace})
-			session.stop("the key was withdrawn", s.config.Now().Add(s.config.WithdrawBound))
+			session.stop("the key was withdrawn", s.config.Now().Add(s.config.WithdrawalTimeout))
 		}
 	}
 }
@@ -270,8 +270,8 @@
 }
 
 func (s *Server) record(event Event) {
-	if s.config.Events != nil {
-		s.config.Events.Record(event)
+	if s.config.EventRecorder != nil {
+		s.config.EventRecorder.Record(event)
 	}
 }
 
@@ -306,7 +306,7 @@
 	c.StartupTimeout = orDefault(c.StartupTimeout, defaultStartupTimeout)
 	c.StopBound = orDefault(c.StopBound, defaultStopBound)
 	c.TransactionTimeout = orDefault(c.TransactionTimeout, defaultTransactionTimeout)
-	c.WithdrawBound = orDefault(c.WithdrawBound, defaultWithdrawBound)
+	c.WithdrawalTimeout = orDefault(c.WithdrawalTimeout, defaultWithdrawBound)
 	c.WriteTimeout = orDefault(c.WriteTimeout, defaultWriteTimeout)
 	if c.Jitter == nil {
 		c.Jitter = rand.Float64
--- a/caller/session_test.go
+++ b/caller/session_test.go
@@ -69,7 +69,7 @@
 	idle, inTransaction, other := d.connect(t), d.connect(t), d.connect(t, func(config *pgx.ConnConfig) { config.Password = "old key" })
 	mustExec(t, inTransaction, "begin")
 	d.policy.revoke("k2")
-	d.server.Recheck()
+	d.server.RecheckKeys()
 	if diff := cmp.Diff("57P01", awaitFatal(t, idle)); diff != "" {
 		t.Errorf("idle session (-want +got):\n%s", diff)
 	}
@@ -148,9 +148,9 @@
 	return nil
 }
 
-// TestCancelElsewhere guards against cancel requests being lost that reach an
+// TestCancelForwarded guards against cancel requests being lost that reach an
 // instance that doesn't serve the session.
-func TestCancelElsewhere(t *testing.T) {
+func TestCancelForwarded(t *testing.T) {
 	f := forwarder{forwarded: make(chan uint32, 1)}
 	d := deploy(t, writes, nil, func(config *caller.Config) { config.CancelForwarder = f })
 	conn, err := net.Dial("tcp", d.address)
@@ -337,9 +337,9 @@
 	}
 }
 
-// TestDrainBound guards against a transaction that holds up a shutdown for
+// TestDrainDeadline guards against a transaction that holds up a shutdown for
 // longer than its bound.
-func TestDrainBound(t *testing.T) {
+func TestDrainDeadline(t *testing.T) {
 	d := deploy(t, writes, nil)
 	conn := d.connect(t)
 	mustExec(t, conn, "begin")
--- a/caller/setting.go
+++ b/caller/setting.go
@@ -74,12 +74,12 @@
 	case maxAgeSetting:
 		age, err := time.ParseDuration(value)
 		if err != nil || age < 0 {
-			return &Error{Op: "set", Kind: KindToken, Err: errors.New("nutmegpier.max_age: want a duration such as 500ms")}
+			return &Error{Op: "set", Kind: KindInvalidParameter, Err: errors.New("nutmegpier.max_age: want a duration such as 500ms")}
 		}
 		s.maxAge = age
 		return nil
 	}
-	return &Error{Op: "set", Kind: KindToken, Err: fmt.Errorf("unknown setting %s", name)}
+	return &Error{Op: "set", Kind: KindInvalidParameter, Err: fmt.Errorf("unknown setting %s", name)}
 }
 
 // takeToken takes a session token that the caller handed over.
@@ -89,7 +89,7 @@
 		return err
 	}
 	if token.Group != s.group {
-		return &Error{Op: "parse token", Kind: KindToken, Err: fmt.Errorf("session token belongs to group %q, not to %q", token.Group, s.group)}
+		return &Error{Op: "parse token", Kind: KindInvalidParameter, Err: fmt.Errorf("session token belongs to group %q, not to %q", token.Group, s.group)}
 	}
 	s.token, s.hasToken = token, true
 	return nil
--- a/caller/statement.go
+++ b/caller/statement.go
@@ -44,13 +44,13 @@
 	// ReadOnly says that Begin starts a READ ONLY transaction.
 	ReadOnly bool
 	// Refused says why the statement can't run over a shared connection, or is empty.
-	Refused string
+	RefusalReason string
 	// Sequence says that the statement reads the sequence state of the session.
-	Sequence bool
+	ReadsSequenceState bool
 	// Text is the statement without the semicolon.
 	Text string
 	// Touches says that the statement may change session state unseen.
-	Touches bool
+	MayChangeSession bool
 	// Value is the text after "=" or "TO" of Set, without quotes.
 	Value string
 	// Verb says what the statement does to the session or transaction.
@@ -117,10 +117,10 @@
 }
 
 // Refused returns why the text can't run, or the empty string.
-func (c *Classification) Refused() string {
+func (c *Classification) RefusalReason() string {
 	for s := range c.statements {
-		if s.Refused != "" {
-			return s.Refused
+		if s.RefusalReason != "" {
+			return s.RefusalReason
 		}
 	}
 	return ""
@@ -248,7 +248,7 @@
 	case t.is("time"):
 		s.Name = "timezone"
 	case t.is("session"):
-		s.Refused = "the role of a shared connection can't be changed"
+		s.RefusalReason = "the role of a shared connection can't be changed"
 	}
 	t = z.next()
 	for t.kind == tokenPunct && t.text == "." {
@@ -262,11 +262,11 @@
 func (z *tokenizer) otherStatement(s *Statement, first sqlToken) sqlToken {
 	switch {
 	case first.is("listen"):
-		s.Refused = "LISTEN isn't supported over shared connections"
+		s.RefusalReason = "LISTEN isn't supported over shared connections"
 	case first.is("prepare"), first.is("load"):
 		s.Pins = true
 	case first.is("do"), first.is("call"), first.is("execute"):
-		s.Touches = true
+		s.MayChangeSession = true
 	case first.is("create"):
 		t := z.next()
 		if t.is("local") || t.is("global") {
@@ -323,7 +323,7 @@
 		s.Verb = VerbOther
 		return z.skipStatement(t)
 	case t.is("role"), t.is("authorization"):
-		s.Refused = "the role of a shared connection can't be changed"
+		s.RefusalReason = "the role of a shared connection can't be changed"
 		return z.skipStatement(t)
 	case t.is("time"):
 		s.Name = "timezone"
@@ -343,7 +343,7 @@
 		s.Name += "." + identifier(part)
 	}
 	if s.Name == "standard_conforming_strings" || s.Name == "role" || s.Name == "session_authorization" {
-		s.Refused = "setting " + s.Name + " isn't supported over shared connections"
+		s.RefusalReason = "setting " + s.Name + " isn't supported over shared connections"
 	}
 	if isStatementEnd(t) {
 		return t
@@ -371,7 +371,7 @@
 		s.Access = AccessWrite
 		s.Pins = true
 	case effectSequence:
-		s.Sequence = true
+		s.ReadsSequenceState = true
 	case effectWrites:
 		s.Access = AccessWrite
 	}
--- a/caller/statement_test.go
+++ b/caller/statement_test.go
@@ -84,7 +84,7 @@
 		}
 	}
 	for _, sql := range []string{"listen a", "set role a", "set session authorization a", "reset session authorization", "set standard_conforming_strings = off"} {
-		if class := caller.Classify("select 1; " + sql); class.Refused() == "" {
+		if class := caller.Classify("select 1; " + sql); class.RefusalReason() == "" {
 			t.Errorf("%q isn't refused", sql)
 		}
 	}
--- a/caller/token.go
+++ b/caller/token.go
@@ -77,5 +77,5 @@
 }
 
 func tokenError(err error) error {
-	return &Error{Op: "parse token", Kind: KindToken, Err: err}
+	return &Error{Op: "parse token", Kind: KindInvalidParameter, Err: err}
 }
--- a/instance/gate.go
+++ b/instance/gate.go
@@ -30,7 +30,7 @@
 	service   *service
 }
 
-var _ caller.Gate = &gate{}
+var _ caller.AdmissionController = &gate{}
 
 // Admit decides on one request of a workspace.
 func (g *gate) Admit(now time.Time, id fleet.WorkspaceID) caller.Decision {
--- a/instance/peers.go
+++ b/instance/peers.go
@@ -90,7 +90,7 @@
 		Version:   version,
 	})
 	i.config.Events.Record(event.SheetInForce, event.Fields{Text: versionText(version)})
-	i.callers.Recheck()
+	i.callers.RecheckKeys()
 }
 
 // sheetLimits reads the limits out of the record of a sheet. Connection
--- a/instance/recorder.go
+++ b/instance/recorder.go
@@ -25,8 +25,8 @@
 }
 
 var (
-	_ caller.Events  = &recorder{}
-	_ group.Recorder = &recorder{}
+	_ caller.EventRecorder = &recorder{}
+	_ group.Recorder       = &recorder{}
 )
 
 // Promotions returns the promotions that this instance ordered, oldest first.
--- a/instance/router.go
+++ b/instance/router.go
@@ -67,9 +67,9 @@
 }
 
 var (
-	_ caller.Barrier   = &router{}
-	_ caller.Committer = &router{}
-	_ caller.Router    = &router{}
+	_ caller.Barrier      = &router{}
+	_ caller.CommitWaiter = &router{}
+	_ caller.Router       = &router{}
 )
 
 // Acquire returns a connection to a server that may serve the request.
@@ -281,7 +281,7 @@
 	if errors.As(err, &backendErr) {
 		switch backendErr.Kind {
 		case backend.KindDeadline, backend.KindQueueFull:
-			return caller.KindQueue
+			return caller.KindCapacity
 		}
 	}
 	return caller.KindBackendLost
