--- a/caller/authenticator.go
+++ b/caller/authenticator.go
@@ -13,18 +13,21 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// mockIterations is the iteration count shown for unknown workspaces.
+// mockIterations is the SCRAM iteration count sent to callers of unknown
+// workspaces.
 const mockIterations = 4096
 
-// Authenticator checks the key of one caller. Unknown workspaces get a mock
-// salt, so that they can't be told from known ones.
+// Authenticator authenticates one connection attempt. For unknown workspaces it
+// runs the exchange with a mock salt, so that an attacker can't find out which
+// workspaces exist.
 type Authenticator struct {
 	conversations []*scram.ServerConversation
 	verifiers     Verifiers
 }
 
-// NewAuthenticator returns an authenticator for one attempt of a workspace.
-// The mock secret makes the mock salts; it must be the same on all instances.
+// NewAuthenticator returns an authenticator for one connection attempt. The salts
+// of unknown workspaces are derived from mockSecret, which must be the same on all
+// instances: an existing workspace has the same salt everywhere.
 func NewAuthenticator(credentials Credentials, workspace fleet.WorkspaceID, mockSecret []byte) (*Authenticator, error) {
 	verifiers, known := credentials.Verifiers(workspace)
 	if !known || len(verifiers.Credentials) == 0 {
@@ -33,7 +36,7 @@
 	a := &Authenticator{verifiers: verifiers}
 	nonce := newNonce()
 	for _, credential := range verifiers.Credentials {
-		server, err := scram.SHA256.NewServer(a.lookup(credential))
+		server, err := scram.SHA256.NewServer(a.credentialLookup(credential))
 		if err != nil {
 			return nil, &Error{Op: "authenticate", Kind: KindAuthentication, Err: errors.New("authentication can't start")}
 		}
@@ -43,13 +46,13 @@
 	return a, nil
 }
 
-// Final takes the caller's last SCRAM message. It returns the server's last
-// message and the key that matched.
+// HandleClientFinal processes the SCRAM client-final-message. It returns the
+// server-final-message and the id of the matching key.
 func (a *Authenticator) HandleClientFinal(message string) (answer string, key KeyID, err error) {
 	matched := -1
 	for i, conversation := range a.conversations {
-		// Each conversation runs to its end, so that the time taken doesn't
-		// tell which key matched.
+		// All conversations run to the end, so that the response time doesn't
+		// reveal which key matched.
 		text, stepErr := conversation.Step(message)
 		if stepErr == nil && conversation.Valid() && a.verifiers.Credentials[i].KeyID != "" {
 			answer, matched = text, i
@@ -61,7 +64,8 @@
 	return answer, a.verifiers.Credentials[matched].KeyID, nil
 }
 
-// First takes the caller's first SCRAM message and returns the challenge.
+// HandleClientFirst processes the SCRAM client-first-message and returns the
+// server-first-message with the challenge.
 func (a *Authenticator) HandleClientFirst(message string) (string, error) {
 	var challenge string
 	for _, conversation := range a.conversations {
@@ -74,7 +78,8 @@
 	return challenge, nil
 }
 
-// Password checks a key that came in cleartext and returns which one it is.
+// CheckPassword checks a key that was sent in cleartext and returns the id of the
+// matching key.
 func (a *Authenticator) CheckPassword(password string) (KeyID, error) {
 	client, err := scram.SHA256.NewClient("", password, "")
 	if err != nil {
@@ -97,7 +102,9 @@
 	return matched, nil
 }
 
-func (a *Authenticator) lookup(credential Credential) scram.CredentialLookup {
+// credentialLookup returns a SCRAM lookup function that always finds this
+// credential, whatever the user name is.
+func (a *Authenticator) credentialLookup(credential Credential) scram.CredentialLookup {
 	return func(string) (scram.StoredCredentials, error) {
 		return scram.StoredCredentials{
 			KeyFactors: scram.KeyFactors{Salt: string(a.verifiers.Salt), Iters: a.verifiers.Iterations},
@@ -107,18 +114,22 @@
 	}
 }
 
-// authenticationError is the same for each cause, so that it tells nothing.
+// authenticationError returns the same error for every cause, so that it doesn't
+// reveal whether the workspace or the key was wrong.
 func authenticationError() error {
 	return &Error{Op: "authenticate", Kind: KindAuthentication, Err: errors.New("authentication failed")}
 }
 
-func mockVerifiers(workspace fleet.WorkspaceID, secret []byte, real Verifiers) Verifiers {
-	mac := hmac.New(sha256.New, secret)
+// mockVerifiers returns verifiers that no key matches. They have the salt and
+// iteration count of the workspace if it has any, else a salt derived from the
+// workspace's name.
+func mockVerifiers(workspace fleet.WorkspaceID, mockSecret []byte, existing Verifiers) Verifiers {
+	mac := hmac.New(sha256.New, mockSecret)
 	mac.Write([]byte(workspace))
 	salt := mac.Sum(nil)[:16]
 	iterations := mockIterations
-	if len(real.Salt) > 0 {
-		salt, iterations = real.Salt, real.Iterations
+	if len(existing.Salt) > 0 {
+		salt, iterations = existing.Salt, existing.Iterations
 	}
 	return Verifiers{
 		Credentials: []Credential{{ServerKey: randomBytes(sha256.Size), StoredKey: randomBytes(sha256.Size)}},
--- a/caller/begin_test.go
+++ b/caller/begin_test.go
@@ -12,18 +12,18 @@
 	"github.com/nutmegpier/nutmegpier/caller"
 )
 
-// TestBlockMovesToNewPrimary guards against a transaction block that fails at
-// its first write because the primary changed after its BEGIN, and against a
-// block that moves although something ran in it.
+// TestBlockMovesToNewPrimary guards against a transaction block that fails at its
+// first write because the primary changed after its BEGIN. A block must move to the
+// new primary then, but not if a statement already ran in it.
 func TestBlockMovesToNewPrimary(t *testing.T) {
 	var refusals atomic.Int32
 	script := func(sql string) reply {
 		if strings.HasPrefix(sql, "insert") && refusals.Add(-1) >= 0 {
 			return reply{code: "25006"}
 		}
-		return writes(sql)
+		return scriptedPrimary(sql)
 	}
-	for name, mode := range modes() {
+	for name, mode := range protocolModes() {
 		t.Run(name, func(t *testing.T) {
 			d := deploy(t, script, nil, func(config *caller.Config) { config.RequestTimeout = 2 * time.Second })
 			conn := d.connect(t, mode)
@@ -38,7 +38,7 @@
 			mustExec(t, conn, "begin")
 			mustExec(t, conn, "select 1")
 			_, err := conn.Exec(ctx, "insert into t values (1)")
-			if diff := cmp.Diff([2]string{"25006", "Outcome: Failed"}, failure(t, err)); diff != "" {
+			if diff := cmp.Diff([2]string{"25006", "Outcome: Failed"}, errorFields(t, err)); diff != "" {
 				t.Errorf("error after a read in the block (-want +got):\n%s", diff)
 			}
 			mustExec(t, conn, "rollback")
--- a/caller/bench_test.go
+++ b/caller/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// cannedServer answers each Query and each Sync with fixed bytes, so that it
+// cannedServer answers each Query and each Sync with prepared bytes, so that it
 // adds nothing to the allocations that a benchmark counts.
 func cannedServer(b *testing.B) string {
 	b.Helper()
@@ -85,8 +85,8 @@
 	return raw
 }
 
-// exchange sends a request and reads the answer until ReadyForQuery.
-func exchange(b *testing.B, conn io.ReadWriter, reader *backend.FrameReader, request []byte) {
+// roundTrip sends a request and reads the response up to ReadyForQuery.
+func roundTrip(b *testing.B, conn io.ReadWriter, reader *backend.FrameReader, request []byte) {
 	if _, err := conn.Write(request); err != nil {
 		b.Fatal(err)
 	}
@@ -101,8 +101,8 @@
 	}
 }
 
-// BenchmarkRelay measures one statement directly and through the proxy. Client
-// and server allocate nothing, so the allocations are those of the relay path.
+// BenchmarkRelay measures one statement directly and through the proxy. The client
+// and the server allocate nothing, so the allocations are those of the relay path.
 func BenchmarkRelay(b *testing.B) {
 	address := cannedServer(b)
 	pool := backend.NewPool(backend.PoolConfig{Connect: func(ctx context.Context, server fleet.ServerID, address string) (*backend.Conn, error) {
@@ -129,18 +129,18 @@
 				conn := path.open()
 				defer conn.Close()
 				reader := backend.NewFrameReader(conn, 4096, 1<<20)
-				exchange(b, conn, reader, parse)
+				roundTrip(b, conn, reader, parse)
 				b.ReportAllocs()
 				for b.Loop() {
-					exchange(b, conn, reader, protocol.request)
+					roundTrip(b, conn, reader, protocol.request)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkRelayParallel measures the throughput of several callers that share
-// one pool, directly and through the proxy. Run it with -cpu 1,4,8.
+// BenchmarkRelayParallel measures the throughput of several callers that share one
+// pool, directly and through the proxy. Run it with -cpu 1,4,8.
 func BenchmarkRelayParallel(b *testing.B) {
 	address := cannedServer(b)
 	pool := backend.NewPool(backend.PoolConfig{Connect: func(ctx context.Context, server fleet.ServerID, address string) (*backend.Conn, error) {
@@ -164,7 +164,7 @@
 				defer conn.Close()
 				reader := backend.NewFrameReader(conn, 4096, 1<<20)
 				for pb.Next() {
-					exchange(b, conn, reader, simple)
+					roundTrip(b, conn, reader, simple)
 				}
 			})
 		})
@@ -172,11 +172,11 @@
 }
 
 func hijack(b *testing.B, conn *pgconn.PgConn) net.Conn {
-	hijacked, err := conn.Hijack()
+	hijackedConn, err := conn.Hijack()
 	if err != nil {
 		b.Fatal(err)
 	}
-	return hijacked.Conn
+	return hijackedConn.Conn
 }
 
 func openDirect(b *testing.B, address string) net.Conn {
@@ -187,10 +187,10 @@
 	return hijack(b, conn)
 }
 
-// BenchmarkIdleSession measures the memory of an idle session without TLS,
-// with that of the caller's socket in the same process.
+// BenchmarkIdleSession measures the memory of an idle session without TLS. This
+// includes the caller's socket, which is in the same process.
 func BenchmarkIdleSession(b *testing.B) {
-	d := deploy(b, writes, nil)
+	d := deploy(b, scriptedPrimary, nil)
 	const sessions = 500
 	for b.Loop() {
 		before := memoryInUse()
@@ -201,7 +201,7 @@
 				b.Fatal(err)
 			}
 			conn := hijack(b, client.PgConn())
-			exchange(b, conn, backend.NewFrameReader(conn, 4096, 1<<20), encode(&pgproto3.Query{String: "select 1"}))
+			roundTrip(b, conn, backend.NewFrameReader(conn, 4096, 1<<20), encode(&pgproto3.Query{String: "select 1"}))
 			conns = append(conns, conn)
 		}
 		b.ReportMetric((memoryInUse()-before)/sessions, "B/session")
@@ -211,7 +211,8 @@
 	}
 }
 
-// memoryInUse returns the bytes of live heap and of stacks.
+// memoryInUse returns the bytes in use by the heap and by stacks after garbage
+// collection.
 func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
--- a/caller/check.go
+++ b/caller/check.go
@@ -6,39 +6,42 @@
 	"github.com/nutmegpier/nutmegpier/backend"
 )
 
-// check refuses what can't run over a shared connection, and returns the SQL
-// to send. It acts on the proxy's own settings.
-func (s *session) check(class *Classification, sql string) (string, error) {
-	if refused := class.RefusalReason(); refused != "" {
-		return "", unsupported(refused)
-	}
-	if class.usesSequenceState() && s.tx == backend.TxIdle && !s.pinned {
+// checkStatements refuses statements that can't run over a shared connection and
+// returns the SQL to send to the server. Settings of the proxy itself and
+// DEALLOCATE of a statement of the session are applied here; a statement without
+// effect is sent in their place.
+func (s *session) checkStatements(class *Classification, sql string) (string, error) {
+	if reason := class.RefusalReason(); reason != "" {
+		return "", unsupported(reason)
+	}
+	if class.usesSequenceState() && s.txStatus == backend.TxIdle && !s.pinned {
 		return "", unsupported("currval and lastval need a transaction over shared connections")
 	}
 	first := &class.First
-	own := (first.Verb == VerbSet || first.Verb == VerbReset) && isOwnSetting(first.Name)
-	renamed := first.Verb == VerbDeallocate && s.prepared[first.Name] != nil
+	proxySetting := (first.Verb == VerbSet || first.Verb == VerbReset) && isProxySetting(first.Name)
+	knownStatement := first.Verb == VerbDeallocate && s.prepared[first.Name] != nil
 	if len(class.Rest) > 0 {
 		s.pinMixed(class)
 		return sql, checkSingle(class)
 	}
 	switch {
-	case own && first.Verb == VerbSet && first.Name != "application_name":
-		return harmlessSQL, s.ownSetting(first.Name, first.Value)
-	case own && first.Name == maxAgeSetting:
+	case proxySetting && first.Verb == VerbSet && first.Name != "application_name":
+		return noOpSQL, s.applyProxySetting(first.Name, first.Value)
+	case proxySetting && first.Name == maxAgeSetting:
 		s.maxAge = 0
-		return harmlessSQL, nil
-	case own:
-		return harmlessSQL, nil
-	case renamed:
+		return noOpSQL, nil
+	case proxySetting:
+		return noOpSQL, nil
+	case knownStatement:
 		s.dropPrepared(first.Name)
-		return harmlessSQL, nil
+		return noOpSQL, nil
 	}
 	return sql, nil
 }
 
-// pinMixed pins the connection for a text that both controls transactions and
-// changes settings, since which changes last isn't tracked inside a text.
+// pinMixed pins the connection if the SQL text both controls transactions and
+// changes settings, since it isn't tracked which settings the transactions inside
+// one text commit.
 func (s *session) pinMixed(class *Classification) {
 	if !class.ControlsTransaction() {
 		return
@@ -50,34 +53,35 @@
 	}
 }
 
-// checkSingle refuses statements that only work alone in a text.
+// checkSingle refuses statements that may only be sent on their own.
 func checkSingle(class *Classification) error {
 	for s := range class.statements {
-		if (s.Verb == VerbSet || s.Verb == VerbReset) && isOwnSetting(s.Name) {
+		if (s.Verb == VerbSet || s.Verb == VerbReset) && isProxySetting(s.Name) {
 			return unsupported("setting " + s.Name + " must be the only statement of a query")
 		}
 	}
 	return nil
 }
 
-// noteChanges notes the statements that change the session when they succeed.
-func (s *session) noteChanges(class *Classification) {
+// recordChanges records the changes of the session state that take effect if the
+// statements succeed.
+func (s *session) recordChanges(class *Classification) {
 	for statement := range class.statements {
 		switch statement.Verb {
 		case VerbSet, VerbReset:
-			if !isOwnSetting(statement.Name) {
-				s.changes = append(s.changes, changeOf(statement))
+			if !isProxySetting(statement.Name) {
+				s.pendingChanges = append(s.pendingChanges, changeOf(statement))
 			}
 		case VerbDeallocate, VerbDiscard, VerbRollbackTo:
-			s.changes = append(s.changes, changeOf(statement))
+			s.pendingChanges = append(s.pendingChanges, changeOf(statement))
 		}
 		if statement.Pins {
-			s.changes = append(s.changes, settingChange{verb: verbPin})
+			s.pendingChanges = append(s.pendingChanges, settingChange{verb: verbPin})
 		}
 	}
 }
 
-// changesSession reports whether noteChanges would note anything.
+// changesSession reports whether recordChanges would record any change.
 func (c *Classification) changesSession() bool {
 	for statement := range c.statements {
 		switch statement.Verb {
@@ -91,48 +95,48 @@
 	return false
 }
 
-// verbPin is the change that pins the connection.
+// verbPin marks a recorded change that pins the connection.
 const verbPin Verb = "Pin"
 
-// settle takes the effect of a completed request into the session.
-func (s *session) settle(r *request, result answer, conn *backend.Conn) {
-	if r.touches {
+// applyChanges applies the recorded changes of a completed request to the session.
+func (s *session) applyChanges(r *request, result relayResult, conn *backend.Conn) {
+	if r.mayChangeSession {
 		conn.Touch()
 	}
-	s.settleAtOnce(result, conn)
-	if s.tx != backend.TxIdle {
+	s.applyImmediateChanges(result, conn)
+	if s.txStatus != backend.TxIdle {
 		return
 	}
 	if result.code == "" && !s.rolledBack {
-		s.settleCommitted(conn)
+		s.applyCommittedChanges(conn)
 	}
-	s.changes = s.changes[:0]
+	s.pendingChanges = s.pendingChanges[:0]
 	s.rolledBack = false
 }
 
-// settleAtOnce takes the changes that don't wait for a commit.
-func (s *session) settleAtOnce(result answer, conn *backend.Conn) {
-	for _, change := range s.changes {
+// applyImmediateChanges applies the changes that take effect without a commit.
+func (s *session) applyImmediateChanges(result relayResult, conn *backend.Conn) {
+	for _, change := range s.pendingChanges {
 		switch change.verb {
 		case verbPin:
 			s.pin(conn)
 		case VerbRollbackTo:
-			// Which settings a savepoint keeps isn't tracked, so the
-			// connection keeps them.
-			if len(s.changes) > 1 {
+			// The effect of savepoints on settings isn't tracked, so the session
+			// keeps this connection.
+			if len(s.pendingChanges) > 1 {
 				s.pin(conn)
 			}
 		case VerbDeallocate, VerbDiscard:
 			if change.name == "all" {
-				s.forgetPrepared(result, conn)
+				s.clearPrepared(result, conn)
 			}
 		}
 	}
 }
 
-// forgetPrepared takes the effect of DEALLOCATE ALL or DISCARD ALL. After an
-// error it isn't known whether they ran, so the connection isn't used again.
-func (s *session) forgetPrepared(result answer, conn *backend.Conn) {
+// clearPrepared applies a DEALLOCATE ALL or DISCARD ALL. After an error it is
+// unknown whether it ran, so the connection isn't reused.
+func (s *session) clearPrepared(result relayResult, conn *backend.Conn) {
 	if result.code != "" {
 		conn.Retire()
 		return
@@ -142,10 +146,12 @@
 	conn.Forget()
 }
 
-func (s *session) settleCommitted(conn *backend.Conn) {
+// applyCommittedChanges applies the changes of settings that a commit made
+// permanent, and tells the connection which settings it has now.
+func (s *session) applyCommittedChanges(conn *backend.Conn) {
 	reset := false
 	changed := false
-	for _, change := range s.changes {
+	for _, change := range s.pendingChanges {
 		switch change.verb {
 		case VerbReset, VerbDiscard:
 			reset = true
@@ -159,28 +165,29 @@
 	case reset:
 		conn.SetProfileUnknown()
 	case changed:
-		conn.SetProfile(s.profile)
+		conn.SetProfile(s.settingsSQL)
 	}
 }
 
-// pin keeps the connection for the session until it ends.
+// pin reserves the connection for the session until the session ends.
 func (s *session) pin(conn *backend.Conn) {
 	s.pinned = true
 	conn.Touch()
 }
 
-// dropChanges forgets the changes of a request that failed.
-func (s *session) dropChanges() {
-	s.changes = s.changes[:0]
+// discardChanges discards the recorded changes of a failed request.
+func (s *session) discardChanges() {
+	s.pendingChanges = s.pendingChanges[:0]
 }
 
-// stoppedNow reports whether the session is to end.
-func (s *session) stoppedNow() bool {
+// isStopping reports whether the session was asked to end.
+func (s *session) isStopping() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stopped != ""
+	return s.stopReason != ""
 }
 
+// usesSequenceState reports whether a statement calls currval or lastval.
 func (c *Classification) usesSequenceState() bool {
 	for s := range c.statements {
 		if s.ReadsSequenceState {
--- a/caller/consistency_test.go
+++ b/caller/consistency_test.go
@@ -24,45 +24,46 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// fixedBarrier counts how often a session asks for a position.
-type fixedBarrier struct {
+// countingBarrier returns a fixed position and counts its calls.
+type countingBarrier struct {
 	calls atomic.Int32
 }
 
-func (b *fixedBarrier) Barrier(context.Context, fleet.GroupID, time.Time) (fleet.Position, error) {
+func (b *countingBarrier) Barrier(context.Context, fleet.GroupID, time.Time) (fleet.Position, error) {
 	b.calls.Add(1)
 	return fleet.Position{Term: 1, Log: 5}, nil
 }
 
-// seen is what a test checks of a request to the router.
-type seen struct {
+// routed holds the fields of a router request that tests compare.
+type routed struct {
 	Access caller.Access
 	MaxAge time.Duration
 	Token  string
 }
 
-func (r *fakeRouter) seen() []seen {
+// routed returns the requests to the router so far, reduced to the compared fields.
+func (r *fakeRouter) routed() []routed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var list []seen
+	var list []routed
 	for _, request := range r.requests {
-		list = append(list, seen{Access: request.Access, MaxAge: request.MaxAge, Token: request.Token.String()})
+		list = append(list, routed{Access: request.Access, MaxAge: request.MaxAge, Token: request.Token.String()})
 	}
 	return list
 }
 
-// all returns the requests so far.
-func (r *fakeRouter) all() []caller.Request {
+// allRequests returns all requests to the router so far.
+func (r *fakeRouter) allRequests() []caller.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.requests)
 }
 
-// TestBarrierBeforeFirstRead guards against a session without token reading
-// data from before its arrival, and against a barrier for each read.
+// TestBarrierBeforeFirstRead guards against a session without a token reading data
+// from before its start, and against a barrier call for each read.
 func TestBarrierBeforeFirstRead(t *testing.T) {
-	barrier := &fixedBarrier{}
-	d := deploy(t, writes, oneRow("replica"), func(config *caller.Config) { config.Barrier = barrier })
+	barrier := &countingBarrier{}
+	d := deploy(t, scriptedPrimary, oneRow("replica"), func(config *caller.Config) { config.Barrier = barrier })
 	conn := d.connect(t, simpleMode)
 	mustExec(t, conn, "/* nutmegpier: max_age=2s */ select 1")
 	mustExec(t, conn, "select 1")
@@ -72,7 +73,7 @@
 	mustExec(t, conn, "begin read only")
 	mustExec(t, conn, "select 1")
 	mustExec(t, conn, "commit")
-	want := []seen{
+	want := []routed{
 		{caller.AccessRead, 2 * time.Second, "v1::0/0:0/0"},
 		{caller.AccessRead, 0, "v1:plant1:0/0:1/5"},
 		{caller.AccessRead, 0, "v1:plant1:0/0:1/5"},
@@ -80,24 +81,24 @@
 		{caller.AccessWrite, 500 * time.Millisecond, "v1:plant1:0/0:1/5"},
 		{caller.AccessRead, 500 * time.Millisecond, "v1:plant1:1/7:1/5"},
 	}
-	if diff := cmp.Diff(want, d.router.seen()); diff != "" {
+	if diff := cmp.Diff(want, d.router.routed()); diff != "" {
 		t.Errorf("requests to the router (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(int32(1), barrier.calls.Load()); diff != "" {
-		t.Errorf("barriers (-want +got):\n%s", diff)
+		t.Errorf("barrier calls (-want +got):\n%s", diff)
 	}
 }
 
-// TestPinnedConnection guards against temporary tables and locks of a session
-// being lost while it lives, or reaching the next session.
+// TestPinnedConnection guards against a session losing its temporary tables and
+// locks, and against another session getting them.
 func TestPinnedConnection(t *testing.T) {
-	d := deploy(t, writes, nil)
+	d := deploy(t, scriptedPrimary, nil)
 	first, second := d.connect(t, simpleMode), d.connect(t, simpleMode)
 	mustExec(t, first, "create temp table x (a int)")
 	mustExec(t, second, "select 2")
 	mustExec(t, first, "select 1")
 	if diff := cmp.Diff(uint32(2), d.primary.connections()); diff != "" {
-		t.Errorf("connections (-want +got):\n%s", diff)
+		t.Errorf("connections to the backend server (-want +got):\n%s", diff)
 	}
 	_ = second.PgConn().Close(context.Background())
 	_ = first.PgConn().Close(context.Background())
@@ -111,28 +112,29 @@
 	}
 }
 
-// awaitSessions waits until all sessions are gone.
+// awaitSessions waits until all sessions have ended.
 func (d *deployment) awaitSessions(t *testing.T) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); d.server.Sessions() > 0; {
 		if time.Now().After(deadline) {
-			t.Fatal("sessions are left")
+			t.Fatal("sessions are still open after 10 s")
 		}
 		runtime.Gosched()
 	}
 }
 
-// TestFencedPrimary guards against a write failing in a failover although it
-// certainly didn't run, and against a wrong outcome when no primary appears.
+// TestFencedPrimary guards against a write failing during a failover although it
+// certainly didn't run, and against a wrong outcome if no primary becomes
+// available.
 func TestFencedPrimary(t *testing.T) {
 	var refusals atomic.Int32
 	script := func(sql string) reply {
 		if strings.HasPrefix(sql, "insert") && refusals.Add(-1) >= 0 {
 			return reply{code: "25006"}
 		}
-		return writes(sql)
+		return scriptedPrimary(sql)
 	}
-	for name, mode := range modes() {
+	for name, mode := range protocolModes() {
 		t.Run(name, func(t *testing.T) {
 			refusals.Store(3)
 			d := deploy(t, script, nil, func(config *caller.Config) { config.RequestTimeout = 300 * time.Millisecond })
@@ -140,7 +142,7 @@
 			mustExec(t, conn, "insert into t values (1)")
 			refusals.Store(1000)
 			_, err := conn.Exec(context.Background(), "insert into t values (1)")
-			if diff := cmp.Diff([2]string{"25006", "Outcome: NotRun"}, failure(t, err)); diff != "" {
+			if diff := cmp.Diff([2]string{"25006", "Outcome: NotRun"}, errorFields(t, err)); diff != "" {
 				t.Errorf("error (-want +got):\n%s", diff)
 			}
 			refusals.Store(0)
@@ -149,11 +151,11 @@
 	}
 }
 
-// TestCleartextOverTLS guards against a key being asked for in cleartext
-// without TLS, and against TLS that doesn't work.
+// TestCleartextOverTLS guards against the server requesting a cleartext key without
+// TLS, and checks authentication over TLS.
 func TestCleartextOverTLS(t *testing.T) {
 	certificate := selfSigned(t)
-	d := deploy(t, writes, nil, func(config *caller.Config) {
+	d := deploy(t, scriptedPrimary, nil, func(config *caller.Config) {
 		config.AllowCleartext = true
 		config.TLS = func() *tls.Config { return &tls.Config{Certificates: []tls.Certificate{certificate}} }
 	})
@@ -163,7 +165,7 @@
 			config.TLSConfig = &tls.Config{InsecureSkipVerify: true}
 		})
 		if key == "wrong" {
-			if diff := cmp.Diff("28P01", failure(t, err)[0]); diff != "" {
+			if diff := cmp.Diff("28P01", errorFields(t, err)[0]); diff != "" {
 				t.Errorf("SQLSTATE (-want +got):\n%s", diff)
 			}
 			continue
@@ -191,11 +193,11 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}
 }
 
-// TestFlushBeforeSync guards against answers that wait for Sync although the
-// caller asked for them with Flush, against a COMMIT acknowledged at a Flush,
-// and against two texts for the unnamed statement being mixed up.
+// TestFlushBeforeSync guards against replies that are held back until Sync although
+// the caller sent a Flush, and against confusing two SQL texts that use the unnamed
+// statement in one batch.
 func TestFlushBeforeSync(t *testing.T) {
-	d := deploy(t, writes, nil)
+	d := deploy(t, scriptedPrimary, nil)
 	hijacked, err := d.connect(t).PgConn().Hijack()
 	if err != nil {
 		t.Fatal(err)
@@ -211,7 +213,7 @@
 		for {
 			frame, err := reader.Next()
 			if err != nil {
-				t.Fatalf("after %q: %v", types, err)
+				t.Fatalf("after message types %q: %v", types, err)
 			}
 			types = append(types, frame.Type)
 			if _, err := reader.Body(); err != nil {
--- a/caller/credentials.go
+++ b/caller/credentials.go
@@ -2,34 +2,36 @@
 
 import "github.com/nutmegpier/nutmegpier/fleet"
 
-// KeyID names a key of a workspace. It isn't secret.
+// KeyID identifies a key of a workspace. It isn't secret.
 type KeyID string
 
 // Credential is the SCRAM-SHA-256 verifier of one key.
 type Credential struct {
-	// KeyID names the key.
+	// KeyID identifies the key.
 	KeyID KeyID
-	// ServerKey is the server key of the verifier, 32 bytes.
+	// ServerKey is the SCRAM ServerKey, 32 bytes.
 	ServerKey []byte
-	// StoredKey is the stored key of the verifier, 32 bytes.
+	// StoredKey is the SCRAM StoredKey, 32 bytes.
 	StoredKey []byte
 }
 
-// Verifiers holds the credentials of one workspace. All share salt and
+// Verifiers holds the credentials of one workspace. All keys share the salt and the
 // iteration count, so that one SCRAM exchange can match any of them.
 type Verifiers struct {
-	// Credentials lists the keys that are valid now.
+	// Credentials lists the currently valid keys.
 	Credentials []Credential
-	// Iterations is the iteration count.
+	// Iterations is the SCRAM iteration count.
 	Iterations int
-	// Salt is the salt in raw bytes.
+	// Salt is the decoded salt.
 	Salt []byte
 }
 
-// Credentials knows the keys of workspaces.
+// Credentials looks up the keys of workspaces.
 type Credentials interface {
-	// KeyValid reports whether a key is still valid. It is asked before each request.
+	// KeyValid reports whether a key is still valid. It is called before each
+	// request.
 	KeyValid(workspace fleet.WorkspaceID, key KeyID) bool
-	// Verifiers returns the verifiers of a workspace, and false if there is none.
+	// Verifiers returns the verifiers of a workspace, and false if the workspace is
+	// unknown.
 	Verifiers(workspace fleet.WorkspaceID) (Verifiers, bool)
 }
--- a/caller/error.go
+++ b/caller/error.go
@@ -1,5 +1,7 @@
-// Package caller speaks to callers as a PostgreSQL server: start-up,
-// authentication, relay of statements, transactions, cancel and outcomes.
+// Package caller implements the PostgreSQL server protocol for the clients of the
+// proxy, which are called callers. It handles start-up and authentication, relays
+// statements and transactions to backend servers, forwards cancel requests and
+// reports the outcome of failed requests.
 package caller
 
 import (
@@ -13,58 +15,68 @@
 // Kind classifies an Error.
 type Kind string
 
-// Kinds of errors.
+// Kinds of errors. Each kind has one SQLSTATE.
 const (
 	// KindAuthentication means that the key isn't valid for the workspace.
 	KindAuthentication Kind = "Authentication"
-	// KindBackendLost means that the backend server was lost or none is known.
+	// KindBackendLost means that the connection to the backend server was lost, or
+	// that no backend server can take the request.
 	KindBackendLost Kind = "BackendLost"
 	// KindCancelled means that the caller cancelled the request before it ran.
 	KindCancelled Kind = "Cancelled"
-	// KindClosed means that the session ends by shutdown or a withdrawn key.
+	// KindClosed means that the proxy ends the session, for example at shutdown,
+	// after an idle timeout or because the key was withdrawn.
 	KindClosed Kind = "Closed"
-	// KindDuplicateStatement means that a statement of that name is prepared.
+	// KindDuplicateStatement means that the session already has a prepared
+	// statement of that name.
 	KindDuplicateStatement Kind = "DuplicateStatement"
-	// KindForbidden means that the workspace has no such access to the database.
+	// KindForbidden means that the workspace isn't allowed this kind of access to
+	// the database.
 	KindForbidden Kind = "Forbidden"
-	// KindIdleTransaction means that the caller left a transaction idle for too long.
+	// KindIdleTransaction means that the session was idle in a transaction for too
+	// long.
 	KindIdleTransaction Kind = "IdleTransaction"
-	// KindNotServing means that the instance takes no new work.
+	// KindNotServing means that the instance accepts no new work.
 	KindNotServing Kind = "NotServing"
-	// KindPositionLost means that no server can satisfy the session's position.
+	// KindPositionLost means that the session's log position no longer exists on
+	// any server.
 	KindPositionLost Kind = "PositionLost"
-	// KindProtocol means that the caller broke the protocol.
+	// KindProtocol means that the caller violated the protocol.
 	KindProtocol Kind = "Protocol"
-	// KindCapacity means that the queue is full or the deadline would pass.
+	// KindCapacity means that a limit on connections or queued requests was
+	// reached, or that no connection became free before the deadline.
 	KindCapacity Kind = "Queue"
-	// KindRateExceeded means that the workspace is over its rate.
+	// KindRateExceeded means that the workspace exceeded its request rate.
 	KindRateExceeded Kind = "RateExceeded"
-	// KindInvalidParameter means that a session token or another parameter is malformed.
+	// KindInvalidParameter means that a session token, start-up parameter or
+	// setting is invalid.
 	KindInvalidParameter Kind = "Token"
-	// KindUnknownOutcome means that the outcome of a write isn't known.
+	// KindUnknownOutcome means that a write may or may not have taken effect.
 	KindUnknownOutcome Kind = "Unknown"
-	// KindUnknownDatabase means that there is no such database.
+	// KindUnknownDatabase means that the database doesn't exist.
 	KindUnknownDatabase Kind = "UnknownDatabase"
-	// KindUnsupported means that the statement can't be carried over shared connections.
+	// KindUnsupported means that the feature isn't supported, usually because
+	// backend connections are shared between sessions.
 	KindUnsupported Kind = "Unsupported"
 )
 
-// Error is the error type of this package. Routers return it so that callers
-// get the SQLSTATE of its kind.
+// Error is the error type of this package. A Router returns it too, to choose the
+// SQLSTATE that the caller gets.
 type Error struct {
-	// Err is the cause. Its text is shown to the caller.
+	// Err is the cause. Its text is sent to the caller.
 	Err error
-	// Kind classifies the error.
+	// Kind classifies the error and determines the SQLSTATE.
 	Kind Kind
 	// Op is the operation that failed.
 	Op string
-	// Outcome says whether the request ran. Empty means NotRun.
+	// Outcome says whether the request ran. Empty means OutcomeNotRun.
 	Outcome Outcome
-	// RetryAfter is the time after which a retry can succeed, or zero.
+	// RetryAfter is how long to wait before a retry can succeed, or zero if it
+	// isn't known.
 	RetryAfter time.Duration
 }
 
-// Error returns the text of the error.
+// Error returns the operation, the kind and the cause as text.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("caller: %s: %s", e.Op, e.Kind)
@@ -113,29 +125,31 @@
 	}
 }
 
-// response returns the message that reports err to a caller.
-func response(err error, severity string) *pgproto3.ErrorResponse {
-	var known *Error
-	if !errors.As(err, &known) {
-		known = &Error{Kind: KindBackendLost, Err: errors.New("no backend server can take the request")}
+// errorResponse returns the ErrorResponse message for err. An error of another type
+// than *Error is reported as KindBackendLost, without its text.
+func errorResponse(err error, severity string) *pgproto3.ErrorResponse {
+	var proxyErr *Error
+	if !errors.As(err, &proxyErr) {
+		proxyErr = &Error{Kind: KindBackendLost, Err: errors.New("no backend server can take the request")}
 	}
-	outcome := known.Outcome
+	outcome := proxyErr.Outcome
 	if outcome == "" {
 		outcome = OutcomeNotRun
 	}
-	answer := &pgproto3.ErrorResponse{
+	reply := &pgproto3.ErrorResponse{
 		Severity:            severity,
 		SeverityUnlocalized: severity,
-		Code:                known.Kind.code(),
-		Message:             known.message(),
-		Detail:              detail(outcome),
+		Code:                proxyErr.Kind.code(),
+		Message:             proxyErr.message(),
+		Detail:              outcomeDetail(outcome),
 	}
-	if known.RetryAfter > 0 {
-		answer.Hint = fmt.Sprintf("retry after %d ms", max(1, known.RetryAfter.Milliseconds()))
+	if proxyErr.RetryAfter > 0 {
+		reply.Hint = fmt.Sprintf("retry after %d ms", max(1, proxyErr.RetryAfter.Milliseconds()))
 	}
-	return answer
+	return reply
 }
 
+// message returns the text that is sent to the caller.
 func (e *Error) message() string {
 	if e.Err == nil {
 		return string(e.Kind)
--- a/caller/extended.go
+++ b/caller/extended.go
@@ -9,17 +9,17 @@
 	"github.com/nutmegpier/nutmegpier/backend"
 )
 
-// maxPrepared bounds the prepared statements on one backend connection. More
-// are closed when the next session takes the connection.
-const maxPrepared = 512
+// maxPreparedPerConn limits the prepared statements on one backend connection. If a
+// connection has more, all are deallocated when a session next acquires it.
+const maxPreparedPerConn = 512
 
-// extended adds a message of the extended protocol to the batch.
-func (s *session) extended(kind byte) error {
+// addToBatch adds an extended query message to the batch.
+func (s *session) addToBatch(kind byte) error {
 	body, err := s.reader.Body()
 	if err != nil {
 		return err
 	}
-	if s.skipping {
+	if s.skippingToSync {
 		return nil
 	}
 	if len(s.batch.data)+len(body) > s.server.config.MaxMessage || len(s.batch.messages) >= maxBatchMessages {
@@ -34,86 +34,90 @@
 	if _, err := s.reader.Body(); err != nil {
 		return err
 	}
-	if s.skipping {
+	if s.skippingToSync {
 		return s.endSkipping(kind)
 	}
 	if kind == 'H' && len(s.batch.messages) == 0 {
 		return nil
 	}
-	if kind == 'S' && len(s.batch.messages) == 0 && !s.flushOpen() {
-		s.takeWriter()
-		defer s.giveWriter()
-		return s.ready(false)
+	if kind == 'S' && len(s.batch.messages) == 0 && !s.awaitingSync() {
+		s.acquireWriter()
+		defer s.releaseWriter()
+		return s.sendReady(false)
 	}
 	r := s.newRequest()
-	r.synced = kind == 'S'
-	if err := s.include(&r); err != nil {
-		s.takeWriter()
-		defer s.giveWriter()
-		defer s.endRequest()
-		s.parsed = 0
-		return s.fail(&r, err, s.tx)
-	}
-	return s.serve(&r)
+	r.endsWithSync = kind == 'S'
+	if err := s.analyzeBatch(&r); err != nil {
+		s.acquireWriter()
+		defer s.releaseWriter()
+		defer s.resetRequestState()
+		s.completedParses = 0
+		return s.failRequest(&r, err, s.txStatus)
+	}
+	return s.serveRequest(&r)
 }
 
-// endSkipping ends a batch of which an error was already reported at a Flush.
+// endSkipping handles a Sync or Flush after an error that was already reported at a
+// Flush. Messages are skipped until the Sync.
 func (s *session) endSkipping(kind byte) error {
 	if kind == 'H' {
 		return nil
 	}
-	s.skipping = false
+	s.skippingToSync = false
 	if s.lease == nil {
-		s.takeWriter()
-		defer s.giveWriter()
-		return s.ready(false)
+		s.acquireWriter()
+		defer s.releaseWriter()
+		return s.sendReady(false)
 	}
 	r := s.newRequest()
-	r.synced = true
-	return s.serve(&r)
+	r.endsWithSync = true
+	return s.serveRequest(&r)
 }
 
-// flushOpen reports whether messages were sent with Flush whose Sync is missing.
-func (s *session) flushOpen() bool {
+// awaitingSync reports whether messages were sent to the server with a Flush and
+// their Sync is still to come.
+func (s *session) awaitingSync() bool {
 	return s.lease != nil && s.lease.Conn().Unsynced()
 }
 
-// include finds out what the messages of the batch ask for.
-func (s *session) include(r *request) error {
+// analyzeBatch decodes the messages of the batch and determines the properties of
+// the request.
+func (s *session) analyzeBatch(r *request) error {
 	for i := range s.batch.messages {
 		m := &s.batch.messages[i]
 		var err error
 		switch m.kind {
 		case 'P':
-			err = s.includeParse(m)
+			err = s.analyzeParse(m)
 		case 'B':
-			err = s.includeBind(r, m)
+			err = s.analyzeBind(r, m)
 		case 'C', 'D':
-			err = s.includeObject(m)
+			err = s.analyzeDescribeOrClose(m)
 		case 'E':
-			err = s.includeExecute(m)
+			err = s.analyzeExecute(m)
 		}
 		if err != nil {
-			s.dropChanges()
+			s.discardChanges()
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *session) includeParse(m *message) error {
-	name, statement, err := parseMessage(s.batch.body(*m))
+// analyzeParse checks the statement of a Parse and adds it to the session.
+func (s *session) analyzeParse(m *message) error {
+	name, statement, err := decodeParse(s.batch.body(*m))
 	if err != nil {
 		return err
 	}
 	if len(name) > 0 && s.prepared[string(name)] != nil {
 		return &Error{Op: "parse", Kind: KindDuplicateStatement, Err: errors.New("a prepared statement of this name already exists")}
 	}
-	statement.sql, err = s.check(&statement.class, statement.sql)
+	statement.sql, err = s.checkStatements(&statement.class, statement.sql)
 	if err != nil {
 		return err
 	}
-	statement.digest()
+	statement.setName()
 	s.dropPrepared(string(name))
 	if s.preparedSize+statement.size() > s.server.config.MaxMessage {
 		return &Error{Op: "parse", Kind: KindUnsupported, Err: errors.New("the session has too many prepared statements")}
@@ -124,7 +128,7 @@
 	return nil
 }
 
-// dropUnparsed forgets the statements of the batch whose Parse didn't complete.
+// dropUnparsed removes the statements whose Parse in this batch didn't complete.
 // Otherwise a repeated Parse would be refused as a duplicate.
 func (s *session) dropUnparsed() {
 	parses := 0
@@ -133,7 +137,7 @@
 			continue
 		}
 		parses++
-		if parses <= s.parsed {
+		if parses <= s.completedParses {
 			continue
 		}
 		name, _, _ := bytes.Cut(s.batch.body(m), zeroByte)
@@ -143,7 +147,7 @@
 	}
 }
 
-// dropPrepared forgets a statement, if there is one of the name.
+// dropPrepared removes a prepared statement from the session, if it exists.
 func (s *session) dropPrepared(name string) {
 	if statement := s.prepared[name]; statement != nil {
 		s.preparedSize -= statement.size()
@@ -151,10 +155,11 @@
 	}
 }
 
-// includeObject takes the object of a Describe or Close. A closed statement
-// stays on the connection for other sessions.
-func (s *session) includeObject(m *message) error {
-	kind, name, err := objectName(s.batch.body(*m))
+// analyzeDescribeOrClose resolves the statement of a Describe or Close. A closed
+// statement is removed from the session only; it stays on the backend connection
+// for other sessions.
+func (s *session) analyzeDescribeOrClose(m *message) error {
+	kind, name, err := decodeObject(s.batch.body(*m))
 	if err != nil || kind != 'S' {
 		return err
 	}
@@ -165,21 +170,23 @@
 	return nil
 }
 
-// includeBind takes the statement of a Bind as one that runs.
-func (s *session) includeBind(r *request, m *message) error {
-	portal, name, _, err := bindNames(s.batch.body(*m))
+// analyzeBind resolves the statement of a Bind and counts it as part of the
+// request.
+func (s *session) analyzeBind(r *request, m *message) error {
+	portal, name, _, err := decodeBind(s.batch.body(*m))
 	if err != nil {
 		return err
 	}
 	m.statement = s.prepared[string(name)]
 	s.bindPortal(portal, m.statement)
 	if m.statement != nil {
-		r.include(&m.statement.class)
+		r.addClassification(&m.statement.class)
 	}
 	return nil
 }
 
-// bindPortal notes which statement a portal runs, if that changes the session.
+// bindPortal records which statement a portal runs, if the statement changes the
+// session state.
 func (s *session) bindPortal(portal []byte, statement *preparedStatement) {
 	if statement == nil || !statement.class.changesSession() {
 		delete(s.portals, string(portal))
@@ -191,36 +198,39 @@
 	s.portals[string(portal)] = statement
 }
 
-// includeExecute notes the changes of a portal. A portal that is bound but not
-// executed changes nothing.
-func (s *session) includeExecute(m *message) error {
+// analyzeExecute records the changes of the session state that a portal makes. A
+// portal that is bound but not executed changes nothing.
+func (s *session) analyzeExecute(m *message) error {
 	portal, _, found := bytes.Cut(s.batch.body(*m), zeroByte)
 	if !found {
-		return malformed("Execute")
+		return malformedError("Execute")
 	}
 	if statement := s.portals[string(portal)]; statement != nil {
-		s.noteChanges(&statement.class)
+		s.recordChanges(&statement.class)
 	}
 	return nil
 }
 
-// send writes the request to the connection and notes the answers to expect.
+// send writes the request to the backend connection and records the replies to
+// expect.
 func (s *session) send(r *request, conn *backend.Conn) error {
-	if r.simple {
+	if r.simpleQuery {
 		conn.SetUnnamed("")
-		return sendNamed(conn, 'Q', []byte(r.sql), []byte{0})
+		return sendParts(conn, 'Q', []byte(r.sql), []byte{0})
 	}
 	for _, m := range s.batch.messages {
 		if err := s.sendMessage(conn, m); err != nil {
 			return err
 		}
 	}
-	if r.synced {
-		return sendNamed(conn, 'S')
+	if r.endsWithSync {
+		return sendParts(conn, 'S')
 	}
-	return sendNamed(conn, 'H')
+	return sendParts(conn, 'H')
 }
 
+// sendMessage sends one message of the batch. Statement names are replaced by those
+// on the backend connection.
 func (s *session) sendMessage(conn *backend.Conn, m message) error {
 	body := s.batch.body(m)
 	switch m.kind {
@@ -233,181 +243,194 @@
 	case 'D':
 		return s.sendDescribe(conn, body, m.statement)
 	}
-	s.operation = append(s.operation, operation{kind: m.kind})
+	s.pendingReply = append(s.pendingReply, pendingReply{kind: m.kind})
 	return conn.Send(s.batch.raw(m))
 }
 
-// sendParse sends a caller's Parse, unless the connection holds the statement.
+// sendParse sends a Parse of the caller, unless the statement already exists on the
+// connection.
 func (s *session) sendParse(conn *backend.Conn, unnamed bool, statement *preparedStatement) error {
 	if !unnamed && conn.HasPrepared(statement.name) {
-		s.operation = append(s.operation, operation{kind: 'P', local: true})
+		s.pendingReply = append(s.pendingReply, pendingReply{kind: 'P', local: true})
 		return nil
 	}
-	return s.parse(conn, unnamed, statement, false)
+	return s.sendNewParse(conn, unnamed, statement, false)
 }
 
-// parse sends a Parse of a statement under its name for the connection.
-func (s *session) parse(conn *backend.Conn, unnamed bool, statement *preparedStatement, injected bool) error {
-	on := statement.name
+// sendNewParse sends a Parse that creates the statement on the connection, under
+// its backend name or as the unnamed statement.
+func (s *session) sendNewParse(conn *backend.Conn, unnamed bool, statement *preparedStatement, injected bool) error {
+	backendName := statement.name
 	if unnamed {
-		on = ""
+		backendName = ""
 		conn.SetUnnamed(statement.name)
 	} else {
-		conn.SetPrepared(on, true)
+		conn.SetPrepared(backendName, true)
 	}
-	s.operation = append(s.operation, operation{injected: injected, kind: 'P', name: on})
-	return sendNamed(conn, 'P', []byte(on), []byte{0}, []byte(statement.sql), []byte{0}, statement.types)
+	s.pendingReply = append(s.pendingReply, pendingReply{injected: injected, kind: 'P', name: backendName})
+	return sendParts(conn, 'P', []byte(backendName), []byte{0}, []byte(statement.sql), []byte{0}, statement.parameterTypes)
 }
 
-// ensureParsed returns the name of a statement on the connection, and parses
-// it there first if needed. Unknown names are passed on for the server to refuse.
+// ensureParsed returns the name of a statement on the connection and parses it
+// there first if needed. An unknown name is passed on unchanged, so that the server
+// returns the error.
 func (s *session) ensureParsed(conn *backend.Conn, name []byte, statement *preparedStatement) (string, error) {
 	if statement == nil {
 		return string(name), nil
 	}
 	if len(name) == 0 {
 		if conn.Unnamed() != statement.name {
-			return "", s.parse(conn, true, statement, true)
+			return "", s.sendNewParse(conn, true, statement, true)
 		}
 		return "", nil
 	}
 	if !conn.HasPrepared(statement.name) {
-		return statement.name, s.parse(conn, false, statement, true)
+		return statement.name, s.sendNewParse(conn, false, statement, true)
 	}
 	return statement.name, nil
 }
 
+// sendBind sends a Bind with the statement's name on the connection.
 func (s *session) sendBind(conn *backend.Conn, body []byte, statement *preparedStatement) error {
-	portalName, name, rest, err := bindNames(body)
+	portalName, name, rest, err := decodeBind(body)
 	if err != nil {
 		return err
 	}
-	on, err := s.ensureParsed(conn, name, statement)
+	backendName, err := s.ensureParsed(conn, name, statement)
 	if err != nil {
 		return err
 	}
-	s.operation = append(s.operation, operation{kind: 'B'})
-	return sendNamed(conn, 'B', portalName, zeroByte, []byte(on), zeroByte, rest)
+	s.pendingReply = append(s.pendingReply, pendingReply{kind: 'B'})
+	return sendParts(conn, 'B', portalName, zeroByte, []byte(backendName), zeroByte, rest)
 }
 
+// sendClose forwards the Close of a portal. The Close of a statement is answered by
+// the proxy, since other sessions may use the statement.
 func (s *session) sendClose(conn *backend.Conn, body []byte) error {
 	if body[0] == 'P' {
-		s.operation = append(s.operation, operation{kind: 'C'})
-		return sendNamed(conn, 'C', body)
+		s.pendingReply = append(s.pendingReply, pendingReply{kind: 'C'})
+		return sendParts(conn, 'C', body)
 	}
-	s.operation = append(s.operation, operation{kind: 'C', local: true})
+	s.pendingReply = append(s.pendingReply, pendingReply{kind: 'C', local: true})
 	return nil
 }
 
+// sendDescribe sends a Describe with the statement's name on the connection.
 func (s *session) sendDescribe(conn *backend.Conn, body []byte, statement *preparedStatement) error {
-	kind, name, err := objectName(body)
+	kind, name, err := decodeObject(body)
 	if err != nil {
 		return err
 	}
 	if kind == 'P' {
-		s.operation = append(s.operation, operation{kind: 'D'})
-		return sendNamed(conn, 'D', body)
+		s.pendingReply = append(s.pendingReply, pendingReply{kind: 'D'})
+		return sendParts(conn, 'D', body)
 	}
-	on, err := s.ensureParsed(conn, name, statement)
+	backendName, err := s.ensureParsed(conn, name, statement)
 	if err != nil {
 		return err
 	}
-	s.operation = append(s.operation, operation{kind: 'D'})
-	return sendNamed(conn, 'D', body[:1], []byte(on), zeroByte)
+	s.pendingReply = append(s.pendingReply, pendingReply{kind: 'D'})
+	return sendParts(conn, 'D', body[:1], []byte(backendName), zeroByte)
 }
 
 var zeroByte = []byte{0}
 
-// answerLocal answers the operations at the head of the queue that the server
-// doesn't see.
-func (s *session) answerLocal() {
+// sendLocalReplies sends the replies at the head of the queue that the proxy
+// generates itself.
+func (s *session) sendLocalReplies() {
 	done := 0
-	for done < len(s.operation) && s.operation[done].local {
+	for done < len(s.pendingReply) && s.pendingReply[done].local {
 		complete := byte('1')
-		if s.operation[done].kind == 'C' {
+		if s.pendingReply[done].kind == 'C' {
 			complete = '3'
 		}
 		var raw [headerSize]byte
 		copy(raw[:], []byte{complete, 0, 0, 0, 4})
-		if len(s.held) > 0 {
-			s.held = append(s.held, raw[:]...)
+		if len(s.heldMessages) > 0 {
+			s.heldMessages = append(s.heldMessages, raw[:]...)
 		} else {
 			_ = s.writer.Raw(raw[:])
 		}
 		done++
 	}
-	s.popOperations(done)
+	s.popReplies(done)
 }
 
-// isSwallowed takes a message that completes an operation off the queue, and
-// reports whether the caller didn't ask for it.
-func (s *session) isSwallowed(kind byte) bool {
+// consumeReply removes a pending reply from the queue if a message of this type
+// completes it. It reports whether the message must not be relayed, because the
+// proxy injected the request for it.
+func (s *session) consumeReply(kind byte) bool {
 	switch kind {
 	case '1', '2', '3', 'C', 'I', 'T', 'n', 's':
+		// ParseComplete, BindComplete, CloseComplete, CommandComplete,
+		// EmptyQueryResponse, RowDescription, NoData, PortalSuspended
 	default:
 		return false
 	}
-	if len(s.operation) == 0 {
+	if len(s.pendingReply) == 0 {
 		return false
 	}
-	head := s.operation[0]
+	head := s.pendingReply[0]
 	if kind == 'T' && head.kind != 'D' {
 		return false
 	}
-	s.popOperations(1)
+	s.popReplies(1)
 	return head.injected
 }
 
-func (s *session) popOperations(n int) {
-	for _, done := range s.operation[:n] {
+// popReplies removes the first n pending replies and counts completed Parses of the
+// caller.
+func (s *session) popReplies(n int) {
+	for _, done := range s.pendingReply[:n] {
 		if done.kind == 'P' && !done.injected {
-			s.parsed++
+			s.completedParses++
 		}
 	}
 	if n > 0 {
-		s.operation = s.operation[:copy(s.operation, s.operation[n:])]
+		s.pendingReply = s.pendingReply[:copy(s.pendingReply, s.pendingReply[n:])]
 	}
 }
 
-// forgetFailed takes back that the statements whose Parse didn't complete are
-// on the connection. The server skips the rest of the batch after an error.
-func (s *session) forgetFailed(conn *backend.Conn) {
-	for _, operation := range s.operation {
-		if operation.kind != 'P' || operation.local {
+// unmarkUnparsed records that the statements whose Parse didn't complete don't
+// exist on the connection. After an error the server skips the rest of the batch.
+func (s *session) unmarkUnparsed(conn *backend.Conn) {
+	for _, pendingReply := range s.pendingReply {
+		if pendingReply.kind != 'P' || pendingReply.local {
 			continue
 		}
-		if operation.name == "" {
+		if pendingReply.name == "" {
 			conn.SetUnnamed("")
 			continue
 		}
-		conn.SetPrepared(operation.name, false)
+		conn.SetPrepared(pendingReply.name, false)
 	}
-	s.operation = s.operation[:0]
+	s.pendingReply = s.pendingReply[:0]
 }
 
-// closePrepared removes all statements from a connection that holds too many.
-func (s *session) closePrepared(conn *backend.Conn) error {
+// deallocateAll deallocates all prepared statements of a connection.
+func (s *session) deallocateAll(conn *backend.Conn) error {
 	conn.Forget()
 	return conn.Exec("DEALLOCATE ALL")
 }
 
-// serveLost answers a request in a transaction whose connection was lost.
-func (s *session) serveLost(r *request) error {
-	if r.simple && isTransactionEnd(r.sql) {
-		s.lost = false
-		s.tx = backend.TxIdle
+// serveLostTransaction answers a request in a transaction whose backend connection
+// was lost. It accepts only a COMMIT or ROLLBACK, which it answers with ROLLBACK.
+func (s *session) serveLostTransaction(r *request) error {
+	if r.simpleQuery && isTransactionEnd(r.sql) {
+		s.transactionLost = false
+		s.txStatus = backend.TxIdle
 		_ = s.writer.Message(&pgproto3.CommandComplete{CommandTag: []byte("ROLLBACK")})
-		return s.ready(false)
+		return s.sendReady(false)
 	}
 	ended := false
 	for _, m := range s.batch.messages {
 		switch m.kind {
 		case 'P':
-			s.parsed++
+			s.completedParses++
 			_ = s.writer.Message(&pgproto3.ParseComplete{})
 		case 'B':
 			if m.statement == nil || !isTransactionEnd(m.statement.sql) {
-				return s.refuseLost(r)
+				return s.refuseInLostTransaction(r)
 			}
 			_ = s.writer.Message(&pgproto3.BindComplete{})
 		case 'C':
@@ -420,28 +443,31 @@
 		}
 	}
 	if !ended {
-		return s.refuseLost(r)
+		return s.refuseInLostTransaction(r)
 	}
-	s.lost = false
-	s.tx = backend.TxIdle
-	if !r.synced {
+	s.transactionLost = false
+	s.txStatus = backend.TxIdle
+	if !r.endsWithSync {
 		return s.writer.Flush()
 	}
-	return s.ready(false)
+	return s.sendReady(false)
 }
 
-func (s *session) refuseLost(r *request) error {
-	s.dropChanges()
-	failure := response(lostError("current transaction is aborted, commands ignored until end of transaction block"), "ERROR")
+// refuseInLostTransaction refuses a request as PostgreSQL does in a failed
+// transaction.
+func (s *session) refuseInLostTransaction(r *request) error {
+	s.discardChanges()
+	failure := errorResponse(lostError("current transaction is aborted, commands ignored until end of transaction block"), "ERROR")
 	failure.Code = "25P02"
 	_ = s.writer.Message(failure)
-	if r.synced {
-		return s.ready(false)
+	if r.endsWithSync {
+		return s.sendReady(false)
 	}
-	s.skipping = true
+	s.skippingToSync = true
 	return s.writer.Flush()
 }
 
+// isTransactionEnd reports whether the SQL text is a single COMMIT or ROLLBACK.
 func isTransactionEnd(sql string) bool {
 	class := Classify(sql)
 	return len(class.Rest) == 0 && (class.First.Verb == VerbCommit || class.First.Verb == VerbRollback)
--- a/caller/fake_test.go
+++ b/caller/fake_test.go
@@ -23,51 +23,57 @@
 	testWorkspace = "presses"
 )
 
-// reply is what the fake server answers to one statement.
+// reply is the scripted reply of a fakeServer to one statement.
 type reply struct {
+	// code is the SQLSTATE of an error reply, or empty.
 	code string
-	// copyIn asks for COPY data in the extended protocol.
-	copyIn   bool
-	hangUp   bool
-	partial  int
+	// copyIn requests COPY data in the extended protocol.
+	copyIn bool
+	// disconnect closes the connection without a reply.
+	disconnect bool
+	// partialRow, if positive, sends a row with a value of this many bytes, without
+	// its last byte, and closes the connection.
+	partialRow int
+	// position is the group position to report when the transaction ends.
 	position string
 	rows     []string
-	tag      string
+	// tag is the command tag. Empty means the first word of the statement.
+	tag string
 }
 
-// fakeServer is a backend server that answers by script.
+// fakeServer is a backend server with scripted replies.
 type fakeServer struct {
 	cancels chan uint32
 	script  func(sql string) reply
 
-	mu  sync.Mutex
-	log []string
-	pid uint32
+	mu       sync.Mutex
+	executed []string
+	pid      uint32
 }
 
 func newFakeServer(script func(sql string) reply) *fakeServer {
 	return &fakeServer{cancels: make(chan uint32, 1), script: script}
 }
 
-// dial serves a new connection over a pipe.
+// dial opens a connection to the fake server over a pipe.
 func (f *fakeServer) dial(context.Context, string, string) (net.Conn, error) {
 	client, server := net.Pipe()
 	go f.serve(server)
 	return client, nil
 }
 
-// connections returns how many connections were opened.
+// connections returns the number of connections opened so far.
 func (f *fakeServer) connections() uint32 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.pid
 }
 
-// statements returns the statements that ran.
+// statements returns the statements executed so far.
 func (f *fakeServer) statements() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string(nil), f.log...)
+	return append([]string(nil), f.executed...)
 }
 
 func (f *fakeServer) serve(conn net.Conn) {
@@ -98,9 +104,9 @@
 // fakeConn is one connection to a fakeServer.
 type fakeConn struct {
 	backend  *pgproto3.Backend
-	bound    string
+	boundSQL string
 	conn     net.Conn
-	copied   []byte
+	copyData []byte
 	failed   bool
 	parsed   map[string]string
 	position string
@@ -135,60 +141,61 @@
 				break
 			}
 		}
-		return alive && c.ready()
+		return alive && c.sendReady()
 	case *pgproto3.Parse:
 		c.parsed[m.Name] = m.Query
 		c.backend.Send(&pgproto3.ParseComplete{})
 	case *pgproto3.Bind:
 		sql, known := c.parsed[m.PreparedStatement]
 		if !known {
-			c.fail("26000")
+			c.sendError("26000")
 			return true
 		}
-		c.bound = sql
+		c.boundSQL = sql
 		c.backend.Send(&pgproto3.BindComplete{})
 	case *pgproto3.Describe:
 		if m.ObjectType == 'S' {
 			c.backend.Send(&pgproto3.ParameterDescription{})
-			c.bound = c.parsed[m.Name]
+			c.boundSQL = c.parsed[m.Name]
 		}
-		if len(c.server.script(c.bound).rows) == 0 {
+		if len(c.server.script(c.boundSQL).rows) == 0 {
 			c.backend.Send(&pgproto3.NoData{})
 			return true
 		}
 		c.backend.Send(rowDescription())
 	case *pgproto3.Execute:
-		return c.execute(c.bound, false)
+		return c.execute(c.boundSQL, false)
 	case *pgproto3.Close:
 		c.backend.Send(&pgproto3.CloseComplete{})
 	case *pgproto3.Sync:
-		return c.ready()
+		return c.sendReady()
 	case *pgproto3.Flush:
 		return c.backend.Flush() == nil
 	case *pgproto3.CopyData:
-		c.copied = append(c.copied, m.Data...)
+		c.copyData = append(c.copyData, m.Data...)
 	case *pgproto3.CopyDone:
 		c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte("COPY 1")})
-		return c.ready()
+		return c.sendReady()
 	}
 	return true
 }
 
-// copy starts to take COPY data, or sends back what it took.
+// copy runs a COPY in the simple protocol: it starts to receive data, or returns
+// the data received before.
 func (c *fakeConn) copy(sql string) bool {
 	if strings.Contains(sql, "from") {
 		c.backend.Send(&pgproto3.CopyInResponse{})
 		return c.backend.Flush() == nil
 	}
 	c.backend.Send(&pgproto3.CopyOutResponse{})
-	c.backend.Send(&pgproto3.CopyData{Data: c.copied})
+	c.backend.Send(&pgproto3.CopyData{Data: c.copyData})
 	c.backend.Send(&pgproto3.CopyDone{})
 	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte("COPY 1")})
-	return c.ready()
+	return c.sendReady()
 }
 
-// receiveCopy takes COPY data to its end. As in PostgreSQL, a Sync on the way
-// is dropped.
+// receiveCopy receives COPY data to its end. Like PostgreSQL it ignores a Sync
+// before the end.
 func (c *fakeConn) receiveCopy() bool {
 	c.backend.Send(&pgproto3.CopyInResponse{})
 	if c.backend.Flush() != nil {
@@ -201,7 +208,7 @@
 		}
 		switch m := message.(type) {
 		case *pgproto3.CopyData:
-			c.copied = append(c.copied, m.Data...)
+			c.copyData = append(c.copyData, m.Data...)
 		case *pgproto3.CopyDone:
 			return true
 		}
@@ -210,20 +217,20 @@
 
 func (c *fakeConn) execute(sql string, describe bool) bool {
 	c.server.mu.Lock()
-	c.server.log = append(c.server.log, sql)
+	c.server.executed = append(c.server.executed, sql)
 	c.server.mu.Unlock()
 	r := c.server.script(sql)
-	if r.partial > 0 {
-		whole := encode(&pgproto3.DataRow{Values: [][]byte{make([]byte, r.partial)}})
+	if r.partialRow > 0 {
+		whole := encode(&pgproto3.DataRow{Values: [][]byte{make([]byte, r.partialRow)}})
 		c.backend.Send(rowDescription())
 		_ = c.backend.Flush()
 		_, _ = c.conn.Write(whole[:len(whole)-1])
 	}
-	if r.hangUp || r.partial > 0 {
+	if r.disconnect || r.partialRow > 0 {
 		return false
 	}
 	if r.code != "" {
-		c.fail(r.code)
+		c.sendError(r.code)
 		return true
 	}
 	if r.copyIn && !c.receiveCopy() {
@@ -252,7 +259,7 @@
 	return true
 }
 
-func (c *fakeConn) fail(code string) {
+func (c *fakeConn) sendError(code string) {
 	c.failed = true
 	if c.tx == 'T' {
 		c.tx = 'E'
@@ -260,7 +267,7 @@
 	c.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: code, Message: "scripted failure"})
 }
 
-func (c *fakeConn) ready() bool {
+func (c *fakeConn) sendReady() bool {
 	c.failed = false
 	if c.position != "" && c.tx == 'I' {
 		c.backend.Send(&pgproto3.ParameterStatus{Name: "group_position", Value: c.position})
@@ -274,8 +281,8 @@
 	return &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{Name: []byte("value"), DataTypeOID: 25, DataTypeSize: -1, TypeModifier: -1}}}
 }
 
-// fakeRouter hands out connections to one primary and one replica, and keeps
-// one idle connection of each.
+// fakeRouter leases connections to one primary and one replica. It keeps one idle
+// connection to each.
 type fakeRouter struct {
 	primary *fakeServer
 	replica *fakeServer
@@ -285,7 +292,7 @@
 	requests []caller.Request
 }
 
-// Acquire returns the idle connection of the server or opens one.
+// Acquire returns the idle connection to the selected server, or opens one.
 func (r *fakeRouter) Acquire(ctx context.Context, request caller.Request) (caller.Lease, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -326,11 +333,11 @@
 	l.router.idle[l.id] = l.conn
 }
 
-// fakePolicy implements the other interfaces of a server.
+// fakePolicy implements AdmissionController, CommitWaiter and Credentials.
 type fakePolicy struct {
-	awaits  chan chan caller.Outcome
-	outcome caller.Outcome
-	salt    string
+	pendingCommits chan chan caller.Outcome
+	outcome        caller.Outcome
+	salt           string
 
 	mu       sync.Mutex
 	decision caller.Decision
@@ -354,13 +361,14 @@
 	return p.decision
 }
 
-// AwaitCommit gives the fixed outcome, or asks the test for it.
+// AwaitCommit returns the fixed outcome, or gets it from the test if pendingCommits
+// is set.
 func (p *fakePolicy) AwaitCommit(_ context.Context, _ fleet.GroupID, _ fleet.Position) (caller.Outcome, error) {
-	if p.awaits == nil {
+	if p.pendingCommits == nil {
 		return p.outcome, nil
 	}
 	answer := make(chan caller.Outcome)
-	p.awaits <- answer
+	p.pendingCommits <- answer
 	return <-answer, nil
 }
 
@@ -389,7 +397,7 @@
 	return verifiers, true
 }
 
-// deployment is a server under test with its fakes.
+// deployment is a server under test with its fake dependencies.
 type deployment struct {
 	address string
 	policy  *fakePolicy
@@ -398,7 +406,8 @@
 	server  *caller.Server
 }
 
-// deploy starts a server on loopback.
+// deploy starts a server on the loopback interface. A nil replica means that there
+// is none.
 func deploy(t testing.TB, primary, replica func(sql string) reply, change ...func(*caller.Config)) *deployment {
 	t.Helper()
 	d := &deployment{policy: newFakePolicy(), primary: newFakeServer(primary)}
@@ -429,7 +438,7 @@
 	return d
 }
 
-// connect opens a pgx connection with the given change of its settings.
+// connect opens a pgx connection, with changes to its configuration.
 func (d *deployment) connect(t testing.TB, change ...func(*pgx.ConnConfig)) *pgx.Conn {
 	t.Helper()
 	conn, err := d.tryConnect(change...)
@@ -454,7 +463,8 @@
 	return pgx.ConnectConfig(ctx, config)
 }
 
-// oneRow answers each statement with one row that holds the given text.
+// oneRow returns a script that answers each SELECT with one row containing the
+// text.
 func oneRow(text string) func(string) reply {
 	return func(sql string) reply {
 		if strings.HasPrefix(strings.ToLower(sql), "select") {
@@ -464,7 +474,7 @@
 	}
 }
 
-func (p *fakePolicy) decide(decision caller.Decision) {
+func (p *fakePolicy) setDecision(decision caller.Decision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.decision = decision
--- a/caller/limit_test.go
+++ b/caller/limit_test.go
@@ -16,27 +16,27 @@
 	"github.com/nutmegpier/nutmegpier/caller"
 )
 
-// TestMaxSessions guards against more connections than the limit, also of
-// callers that don't authenticate, and against a place that isn't freed.
+// TestMaxSessions guards against more connections than MaxSessions, including
+// unauthenticated ones, and against a closed connection still being counted.
 func TestMaxSessions(t *testing.T) {
-	d := deploy(t, writes, nil, func(config *caller.Config) { config.MaxSessions = 2 })
+	d := deploy(t, scriptedPrimary, nil, func(config *caller.Config) { config.MaxSessions = 2 })
 	first := d.connect(t, simpleMode)
-	silent, err := net.Dial("tcp", d.address)
+	unauthenticated, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	// The first byte is an answer to the request for GSS encryption, so the
-	// connection is counted.
-	if _, err := silent.Write([]byte{0, 0, 0, 8, 0x04, 0xd2, 0x16, 0x30}); err != nil {
+	defer unauthenticated.Close()
+	// Send a GSSENCRequest. Once its one-byte reply arrives, the server counts the
+	// connection.
+	if _, err := unauthenticated.Write([]byte{0, 0, 0, 8, 0x04, 0xd2, 0x16, 0x30}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := silent.Read(make([]byte, 1)); err != nil {
+	if _, err := unauthenticated.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	_, err = d.tryConnect()
-	if diff := cmp.Diff([2]string{"53300", "Outcome: NotRun"}, failure(t, err)); diff != "" {
-		t.Errorf("connection over the limit (-want +got):\n%s", diff)
+	if diff := cmp.Diff([2]string{"53300", "Outcome: NotRun"}, errorFields(t, err)); diff != "" {
+		t.Errorf("connection over MaxSessions (-want +got):\n%s", diff)
 	}
 	mustExec(t, first, "select 1")
 	_ = first.PgConn().Close(context.Background())
@@ -47,7 +47,7 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the place isn't free: %v", err)
+			t.Fatalf("connection still refused after another one was closed: %v", err)
 		}
 	}
 	if diff := cmp.Diff(uint32(1), d.primary.connections()); diff != "" {
@@ -55,17 +55,18 @@
 	}
 }
 
-// TestMemoryLimits guards against small messages without Sync, and prepared
-// statements, that take unbounded memory.
+// TestMemoryLimits guards against small messages without a Sync, or prepared
+// statements, using unlimited memory.
 func TestMemoryLimits(t *testing.T) {
-	d := deploy(t, writes, nil, func(config *caller.Config) { config.MaxMessage = 4 << 20 })
+	d := deploy(t, scriptedPrimary, nil, func(config *caller.Config) { config.MaxMessage = 4 << 20 })
 	hijacked, err := d.connect(t).PgConn().Hijack()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer hijacked.Conn.Close()
 	_ = hijacked.Conn.SetDeadline(time.Now().Add(20 * time.Second))
-	// The messages are below the limit in bytes.
+	// These messages exceed the limit on their number, but not the one on their
+	// size.
 	_, _ = hijacked.Conn.Write(bytes.Repeat(encode(&pgproto3.Describe{ObjectType: 'P'}), 1<<17+1))
 	output, _ := io.ReadAll(hijacked.Conn)
 	if diff := cmp.Diff("08P01", fatalCode(output)); diff != "" {
@@ -77,7 +78,7 @@
 		_, err := conn.Prepare(context.Background(), name, "select '"+strings.Repeat("x", 3<<19)+"'", nil)
 		code := ""
 		if err != nil {
-			code = failure(t, err)[0]
+			code = errorFields(t, err)[0]
 		}
 		codes = append(codes, code)
 	}
@@ -86,8 +87,8 @@
 	}
 }
 
-// TestSlowCaller guards against callers that hold a backend connection without
-// reading their answers, or by sending a part of a message.
+// TestSlowCaller guards against callers that hold a backend connection because they
+// don't read the response or send only part of a message.
 func TestSlowCaller(t *testing.T) {
 	script := func(sql string) reply {
 		if strings.HasPrefix(sql, "select large") {
@@ -107,7 +108,7 @@
 			d := deploy(t, script, nil, func(config *caller.Config) {
 				config.IdleTimeout = 300 * time.Millisecond
 				config.WriteTimeout = 300 * time.Millisecond
-				config.Router = &tellingRouter{Router: config.Router, released: released}
+				config.Router = &notifyingRouter{Router: config.Router, released: released}
 			})
 			hijacked, err := d.connect(t).PgConn().Hijack()
 			if err != nil {
@@ -124,42 +125,43 @@
 				got = append(got, healthy)
 			}
 			if diff := cmp.Diff(tc.want, got); diff != "" {
-				t.Errorf("connections given back, and whether healthy (-want +got):\n%s", diff)
+				t.Errorf("health of the released connections (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// tellingRouter tells when connections are given back.
-type tellingRouter struct {
+// notifyingRouter wraps a router and reports each release of a connection, with its
+// health.
+type notifyingRouter struct {
 	caller.Router
 	released chan bool
 }
 
-// Acquire passes the request on.
-func (r *tellingRouter) Acquire(ctx context.Context, request caller.Request) (caller.Lease, error) {
+// Acquire acquires a connection from the wrapped router.
+func (r *notifyingRouter) Acquire(ctx context.Context, request caller.Request) (caller.Lease, error) {
 	lease, err := r.Router.Acquire(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	return &tellingLease{Lease: lease, released: r.released}, nil
+	return &notifyingLease{Lease: lease, released: r.released}, nil
 }
 
-type tellingLease struct {
+type notifyingLease struct {
 	caller.Lease
 	released chan bool
 }
 
-// Release gives the connection back and tells so.
-func (l *tellingLease) Release(healthy bool) {
+// Release releases the connection and reports it.
+func (l *notifyingLease) Release(healthy bool) {
 	l.Lease.Release(healthy)
 	l.released <- healthy
 }
 
-// TestIdleTransaction guards against a caller that opens a transaction and
-// sends nothing more, and so holds a backend connection that others need.
+// TestIdleTransaction guards against a caller that opens a transaction and then
+// sends nothing, which would hold a backend connection that others need.
 func TestIdleTransaction(t *testing.T) {
-	d := deploy(t, writes, nil, func(config *caller.Config) { config.TransactionTimeout = 50 * time.Millisecond })
+	d := deploy(t, scriptedPrimary, nil, func(config *caller.Config) { config.TransactionTimeout = 50 * time.Millisecond })
 	conn := d.connect(t)
 	mustExec(t, conn, "begin")
 	hijacked, err := conn.PgConn().Hijack()
@@ -171,11 +173,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	failure, isError := message.(*pgproto3.ErrorResponse)
+	errorResponse, isError := message.(*pgproto3.ErrorResponse)
 	if !isError {
 		t.Fatalf("got %T, want an ErrorResponse", message)
 	}
-	if diff := cmp.Diff([2]string{"25P03", "Outcome: NotRun"}, [2]string{failure.Code, failure.Detail}); diff != "" {
+	if diff := cmp.Diff([2]string{"25P03", "Outcome: NotRun"}, [2]string{errorResponse.Code, errorResponse.Detail}); diff != "" {
 		t.Errorf("error (-want +got):\n%s", diff)
 	}
 }
--- a/caller/linger.go
+++ b/caller/linger.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// lingerBytes bounds what is read and dropped after the last message.
+	// lingerBytes limits how much input is read and discarded after the last
+	// message.
 	lingerBytes = 1 << 20
-	// lingerTimeout bounds the wait for a caller to close its side.
+	// lingerTimeout limits the wait for the caller to close its side.
 	lingerTimeout = time.Second
 )
 
-// halfCloser is a connection whose sending side can be closed on its own.
+// halfCloser is a connection whose write side can be closed separately.
 type halfCloser interface {
 	CloseWrite() error
 }
 
-// linger ends the sending side and drops what the caller still sends, until the
-// caller closes its side. If a connection with unread input were closed at
-// once, TCP would reset it, and the last error could be lost on its way.
+// linger performs a lingering close: it closes the write side and discards input
+// until the caller closes its side. Closing a connection with unread input makes
+// TCP send a reset, which could discard the last error message before the caller
+// reads it.
 func linger(conn net.Conn) {
 	half, ok := conn.(halfCloser)
 	if !ok || half.CloseWrite() != nil {
--- a/caller/opening.go
+++ b/caller/opening.go
@@ -16,18 +16,18 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// maxAuthMessage bounds a message before authentication in bytes.
-const maxAuthMessage = 4096
+// maxAuthMessageBytes limits the size of authentication messages.
+const maxAuthMessageBytes = 4096
 
 // errCancelRequest ends a connection that only carried a cancel request.
-var errCancelRequest = errors.New("cancel request")
+var errCancelRequest = errors.New("the connection only carried a cancel request")
 
-// refusalTimeout bounds the refusal of a connection over MaxSessions. It is
-// short, since these connections aren't counted.
+// refusalTimeout limits the time to refuse a connection over MaxSessions. It is
+// short because these connections aren't counted.
 const refusalTimeout = time.Second
 
-// openSession takes a connection through start-up and authentication. When it fails
-// the caller has been told.
+// openSession performs start-up and authentication on a connection. If it fails,
+// the error was already sent to the caller.
 func (s *Server) openSession(conn net.Conn) (*session, error) {
 	_ = conn.SetDeadline(s.config.Now().Add(s.config.StartupTimeout))
 	conn, startup, err := s.negotiate(conn)
@@ -48,18 +48,19 @@
 		s.record(workspaceEvent(EventAuthenticationFailed, session.workspace, session.group, ""))
 		return nil, s.reject(conn, err)
 	}
-	if err := s.add(session); err != nil {
+	if err := s.addSession(session); err != nil {
 		return nil, s.reject(conn, err)
 	}
-	if err := session.greet(); err != nil {
-		s.remove(session)
+	if err := session.sendStartupComplete(); err != nil {
+		s.removeSession(session)
 		return nil, err
 	}
 	_ = conn.SetDeadline(time.Time{})
 	return session, nil
 }
 
-// authenticate runs the authentication exchange and returns the key that matched.
+// authenticate runs the authentication exchange and returns the id of the matching
+// key.
 func (s *Server) authenticate(session *session) (KeyID, error) {
 	authenticator, err := NewAuthenticator(s.config.Credentials, session.workspace, s.config.MockSecret)
 	if err != nil {
@@ -76,7 +77,7 @@
 	if err := session.sendNow(&pgproto3.AuthenticationCleartextPassword{}); err != nil {
 		return "", err
 	}
-	body, err := session.authMessage()
+	body, err := session.readAuthMessage()
 	if err != nil {
 		return "", err
 	}
@@ -87,7 +88,7 @@
 	if err := session.sendNow(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{"SCRAM-SHA-256"}}); err != nil {
 		return "", err
 	}
-	body, err := session.authMessage()
+	body, err := session.readAuthMessage()
 	if err != nil {
 		return "", err
 	}
@@ -102,7 +103,7 @@
 	if err := session.sendNow(&pgproto3.AuthenticationSASLContinue{Data: []byte(challenge)}); err != nil {
 		return "", err
 	}
-	if body, err = session.authMessage(); err != nil {
+	if body, err = session.readAuthMessage(); err != nil {
 		return "", err
 	}
 	answer, key, err := authenticator.HandleClientFinal(string(body))
@@ -112,25 +113,27 @@
 	return key, session.sendNow(&pgproto3.AuthenticationSASLFinal{Data: []byte(answer)})
 }
 
-// authMessage reads one message of type 'p'.
-func (s *session) authMessage() ([]byte, error) {
+// readAuthMessage reads a message of type 'p', which carries a password or SASL
+// response.
+func (s *session) readAuthMessage() ([]byte, error) {
 	frame, err := s.reader.Next()
 	if err != nil {
 		return nil, err
 	}
-	if frame.Type != 'p' || frame.Size > maxAuthMessage {
+	if frame.Type != 'p' || frame.Size > maxAuthMessageBytes {
 		return nil, &Error{Op: "authenticate", Kind: KindProtocol, Err: errors.New("expected an authentication message")}
 	}
 	return s.reader.Body()
 }
 
-// greet tells the caller that it is authenticated and what it is connected to.
-func (s *session) greet() error {
-	w := s.takeWriter()
-	defer s.giveWriter()
+// sendStartupComplete sends the messages that end the start-up: AuthenticationOk,
+// parameters, the cancel key and ReadyForQuery.
+func (s *session) sendStartupComplete() error {
+	w := s.acquireWriter()
+	defer s.releaseWriter()
 	_ = w.Message(&pgproto3.AuthenticationOk{})
 	for _, parameter := range s.server.config.Parameters {
-		_ = w.Message(&pgproto3.ParameterStatus{Name: parameter.Name, Value: s.reported(parameter)})
+		_ = w.Message(&pgproto3.ParameterStatus{Name: parameter.Name, Value: s.reportedValue(parameter)})
 	}
 	if s.hasToken {
 		_ = w.Message(&pgproto3.ParameterStatus{Name: TokenParameter, Value: s.token.String()})
@@ -140,11 +143,11 @@
 	return w.Flush()
 }
 
-// reported returns the value of a parameter that the caller is told of: the one
-// it asked for at start-up, if it did.
-func (s *session) reported(parameter Parameter) string {
+// reportedValue returns the value of a parameter to report to the caller: the value
+// it set at start-up, if any.
+func (s *session) reportedValue(parameter Parameter) string {
 	value := parameter.Value
-	for _, setting := range s.initial {
+	for _, setting := range s.startupSettings {
 		if strings.EqualFold(setting.name, parameter.Name) {
 			value = setting.value
 		}
@@ -152,10 +155,12 @@
 	return value
 }
 
-// negotiate reads start-up messages until one that starts a session. The
-// connection returned is the TLS one if TLS was negotiated.
+// negotiate handles SSL, GSS encryption and cancel requests until the
+// StartupMessage of a session arrives. It returns the TLS connection if TLS was
+// negotiated.
 func (s *Server) negotiate(conn net.Conn) (net.Conn, Startup, error) {
-	// A caller may ask for GSS encryption and TLS once each.
+	// A caller may request GSS encryption and TLS once each before the
+	// StartupMessage.
 	for range 3 {
 		startup, err := ReadStartup(conn)
 		if err != nil {
@@ -179,6 +184,8 @@
 	return conn, Startup{}, startupError("too many negotiation requests")
 }
 
+// cancelRequest cancels a request of a session on this instance, or forwards the
+// cancel request to other instances.
 func (s *Server) cancelRequest(startup Startup) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.config.StartupTimeout)
 	defer cancel()
@@ -188,8 +195,8 @@
 	_ = s.config.CancelForwarder.ForwardCancel(ctx, startup.ProcessID, startup.Secret)
 }
 
-// negotiateVersion tells a caller that asks for a newer minor version or for
-// protocol options that this server has none of them.
+// negotiateVersion tells a caller that requested a newer minor protocol version or
+// protocol options that the proxy doesn't support them.
 func (s *session) negotiateVersion(startup Startup) error {
 	var options []string
 	for _, parameter := range startup.Parameters {
@@ -203,22 +210,22 @@
 	return s.sendNow(&pgproto3.NegotiateProtocolVersion{NewestMinorProtocol: protocolMajor << 16, UnrecognizedOptions: options})
 }
 
-// reject tells the caller why its connection is refused, and returns err.
+// reject sends the error to the caller, if it is an *Error, and returns err.
 func (s *Server) reject(conn net.Conn, err error) error {
-	var known *Error
-	if !errors.As(err, &known) {
+	var proxyErr *Error
+	if !errors.As(err, &proxyErr) {
 		return err
 	}
-	encoded, encodeErr := response(known, "FATAL").Encode(nil)
+	encoded, encodeErr := errorResponse(proxyErr, "FATAL").Encode(nil)
 	if encodeErr == nil {
 		_, _ = conn.Write(encoded)
 	}
 	return err
 }
 
-// refuseFull refuses a connection over MaxSessions. A cancel request is still
-// served, since callers need it most when the server is full.
-func (s *Server) refuseFull(conn net.Conn) {
+// refuseOverLimit refuses a connection over MaxSessions. Cancel requests are still
+// served, since callers need them most when all sessions are in use.
+func (s *Server) refuseOverLimit(conn net.Conn) {
 	_ = conn.SetDeadline(s.config.Now().Add(refusalTimeout))
 	conn, _, err := s.negotiate(conn)
 	if err == nil {
@@ -227,6 +234,8 @@
 	_ = s.reject(conn, err)
 }
 
+// startTLS answers an SSLRequest and performs the TLS handshake if TLS is
+// configured and not yet in use.
 func (s *Server) startTLS(conn net.Conn) (net.Conn, error) {
 	var config *tls.Config
 	if _, isTLS := conn.(*tls.Conn); s.config.TLS != nil && !isTLS {
@@ -239,20 +248,20 @@
 	if _, err := conn.Write([]byte{'S'}); err != nil {
 		return conn, err
 	}
-	secured := tls.Server(conn, config)
-	return secured, secured.Handshake()
+	tlsConn := tls.Server(conn, config)
+	return tlsConn, tlsConn.Handshake()
 }
 
-// newSession makes a session from the parameters of a start-up message.
+// newSession creates a session from the parameters of a StartupMessage.
 func (s *Server) newSession(conn net.Conn, startup Startup) (*session, error) {
 	session := &session{
-		arrivedAt: s.config.Now(),
+		startedAt: s.config.Now(),
 		conn:      conn,
 		output:    callerWriter{conn: conn, timeout: s.config.WriteTimeout},
 		prepared:  make(map[string]*preparedStatement),
 		reader:    backend.NewFrameReader(conn, readBufferSize, s.config.MaxMessage),
 		server:    s,
-		tx:        backend.TxIdle,
+		txStatus:  backend.TxIdle,
 		workspace: fleet.WorkspaceID(startup.Get("user")),
 	}
 	session.database = cmp.Or(fleet.GroupID(startup.Get("database")), fleet.GroupID(session.workspace))
@@ -269,12 +278,12 @@
 			return nil, err
 		}
 	}
-	session.settings = session.initial
-	session.profile = profileOf(session.settings)
+	session.settings = session.startupSettings
+	session.settingsSQL = settingsToSQL(session.settings)
 	return session, nil
 }
 
-// startupParameter takes one start-up parameter into the session.
+// startupParameter applies one start-up parameter to the session.
 func (s *session) startupParameter(parameter Parameter) error {
 	name := strings.ToLower(parameter.Name)
 	switch {
@@ -284,14 +293,14 @@
 		return nil
 	case name == "replication":
 		return &Error{Op: "start up", Kind: KindUnsupported, Err: errors.New("replication connections aren't supported")}
-	case strings.HasPrefix(name, settingPrefix):
-		return s.ownSetting(name, parameter.Value)
+	case strings.HasPrefix(name, proxySettingPrefix):
+		return s.applyProxySetting(name, parameter.Value)
 	case !isSettingName(name):
 		return &Error{Op: "start up", Kind: KindInvalidParameter, Err: fmt.Errorf("start-up parameter %q isn't a setting", name)}
 	case isRefusedSetting(name):
 		return &Error{Op: "start up", Kind: KindUnsupported, Err: fmt.Errorf("setting %s isn't supported over shared connections", name)}
 	}
-	text := "SET " + name + " TO '" + strings.ReplaceAll(parameter.Value, "'", "''") + "'"
-	s.initial = append(s.initial, setting{name: name, text: text, value: parameter.Value})
+	sql := "SET " + name + " TO '" + strings.ReplaceAll(parameter.Value, "'", "''") + "'"
+	s.startupSettings = append(s.startupSettings, setting{name: name, sql: sql, value: parameter.Value})
 	return nil
 }
--- a/caller/outcome.go
+++ b/caller/outcome.go
@@ -1,19 +1,20 @@
 package caller
 
-import core "github.com/nutmegpier/nutmegpier/session"
+import sessionpkg "github.com/nutmegpier/nutmegpier/session"
 
-// Outcome says whether a request ran.
-type Outcome = core.Outcome
+// Outcome says whether a request took effect.
+type Outcome = sessionpkg.Outcome
 
 // Outcomes of a request.
 const (
-	OutcomeCommitted = core.OutcomeCommitted
-	OutcomeFailed    = core.OutcomeFailed
-	OutcomeNotRun    = core.OutcomeNotRun
-	OutcomeUnknown   = core.OutcomeUnknown
+	OutcomeCommitted = sessionpkg.OutcomeCommitted
+	OutcomeFailed    = sessionpkg.OutcomeFailed
+	OutcomeNotRun    = sessionpkg.OutcomeNotRun
+	OutcomeUnknown   = sessionpkg.OutcomeUnknown
 )
 
-// detail returns the text for the Detail field of an error.
-func detail(o Outcome) string {
+// outcomeDetail returns the line for the Detail field of an ErrorResponse. Callers
+// read the outcome from it.
+func outcomeDetail(o Outcome) string {
 	return "Outcome: " + string(o)
 }
--- a/caller/prepared_test.go
+++ b/caller/prepared_test.go
@@ -15,17 +15,17 @@
 	"github.com/nutmegpier/nutmegpier/caller"
 )
 
-// TestDuplicateStatement guards against a Parse that replaces a statement
-// without notice, and against a failed Parse that occupies its name.
+// TestDuplicateStatement guards against a Parse silently replacing a statement, and
+// against a failed Parse blocking its statement name.
 func TestDuplicateStatement(t *testing.T) {
 	d, _, _ := deployStandin(t, backend.Limits{Permits: 2, Slots: 2})
 	ctx := context.Background()
 	conn := d.connect(t).PgConn()
 	prepare := func(name, sql string) string {
 		_, err := conn.Prepare(ctx, name, sql, nil)
-		var known *pgconn.PgError
-		if errors.As(err, &known) {
-			return known.Code
+		var pgErr *pgconn.PgError
+		if errors.As(err, &pgErr) {
+			return pgErr.Code
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -33,9 +33,9 @@
 		return ""
 	}
 	got := []string{prepare("a", "select 1"), prepare("a", "select 2"), prepare("b", "select 1; select 2"), prepare("b", "select 3")}
-	d.policy.decide(caller.Decision{Serving: true})
+	d.policy.setDecision(caller.Decision{Serving: true})
 	got = append(got, prepare("c", "select 4"))
-	d.policy.decide(caller.Decision{Serving: true, Admitted: true})
+	d.policy.setDecision(caller.Decision{Serving: true, Admitted: true})
 	got = append(got, prepare("c", "select 4"))
 	if err := conn.Deallocate(ctx, "a"); err != nil {
 		t.Fatal(err)
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestUnexecutedSet guards against a setting being replayed although its SET
-// was bound but never executed, and against an executed one being forgotten
-// when Bind and Execute come in batches of their own.
+// TestUnexecutedSet guards against replaying a SET that was bound but never
+// executed. It also guards against losing an executed one if Bind and Execute are
+// sent in separate batches.
 func TestUnexecutedSet(t *testing.T) {
 	d, _, _ := deployStandin(t, backend.Limits{Permits: 1, Slots: 1})
 	first, second := d.connect(t, simpleMode), d.connect(t, simpleMode)
@@ -58,24 +58,25 @@
 	}
 	defer hijacked.Conn.Close()
 	bind := []backend.Encoder{&pgproto3.Parse{Query: "set timezone = 'Europe/Madrid'"}, &pgproto3.Bind{}}
-	show := func() string {
+	showTimezone := func() string {
 		mustExec(t, second, "select 1")
-		return ask(t, hijacked, &pgproto3.Query{String: "show timezone"})
+		return sendAndRead(t, hijacked, &pgproto3.Query{String: "show timezone"})
 	}
-	before := show()
-	ask(t, hijacked, append(bind, &pgproto3.Sync{})...)
-	bound := show()
-	if diff := cmp.Diff(before, bound); diff != "" {
-		t.Errorf("after Bind alone (-want +got):\n%s", diff)
+	before := showTimezone()
+	sendAndRead(t, hijacked, append(bind, &pgproto3.Sync{})...)
+	afterBind := showTimezone()
+	if diff := cmp.Diff(before, afterBind); diff != "" {
+		t.Errorf("time zone after Bind without Execute (-want +got):\n%s", diff)
 	}
-	ask(t, hijacked, append(bind, &pgproto3.Flush{}, &pgproto3.Execute{}, &pgproto3.Sync{})...)
-	if diff := cmp.Diff("Europe/Madrid", show()); diff != "" {
-		t.Errorf("after Execute (-want +got):\n%s", diff)
+	sendAndRead(t, hijacked, append(bind, &pgproto3.Flush{}, &pgproto3.Execute{}, &pgproto3.Sync{})...)
+	if diff := cmp.Diff("Europe/Madrid", showTimezone()); diff != "" {
+		t.Errorf("time zone after Execute (-want +got):\n%s", diff)
 	}
 }
 
-// ask sends messages, and returns the last value of the rows until ReadyForQuery.
-func ask(t *testing.T, conn *pgconn.HijackedConn, messages ...backend.Encoder) string {
+// sendAndRead sends messages and reads the response up to ReadyForQuery. It returns
+// the value of the last row.
+func sendAndRead(t *testing.T, conn *pgconn.HijackedConn, messages ...backend.Encoder) string {
 	t.Helper()
 	if _, err := conn.Conn.Write(encode(messages...)); err != nil {
 		t.Fatal(err)
@@ -97,11 +98,12 @@
 	}
 }
 
-// TestReadAfterPrimaryRead guards against a read on a replica that is older
-// than an earlier read of the session on the primary, which reports no position.
+// TestReadAfterPrimaryRead guards against a read on a replica returning older data
+// than an earlier read of the session on the primary. A primary reports no position
+// for a read.
 func TestReadAfterPrimaryRead(t *testing.T) {
-	barrier := &fixedBarrier{}
-	d := deploy(t, writes, oneRow("replica"), func(config *caller.Config) { config.Barrier = barrier })
+	barrier := &countingBarrier{}
+	d := deploy(t, scriptedPrimary, oneRow("replica"), func(config *caller.Config) { config.Barrier = barrier })
 	conn := d.connect(t, simpleMode, func(config *pgx.ConnConfig) {
 		config.RuntimeParams[caller.TokenParameter] = "v1:plant1:1/2:1/2"
 	})
@@ -109,27 +111,26 @@
 	mustExec(t, conn, "/* nutmegpier: primary */ select 1")
 	mustExec(t, conn, "select 1")
 	mustExec(t, conn, "select 1")
-	want := []seen{
+	want := []routed{
 		{caller.AccessRead, 0, "v1:plant1:1/2:1/2"},
 		{caller.AccessWrite, 0, "v1:plant1:1/2:1/2"},
 		{caller.AccessRead, 0, "v1:plant1:1/2:1/5"},
 		{caller.AccessRead, 0, "v1:plant1:1/2:1/5"},
 	}
-	if diff := cmp.Diff(want, d.router.seen()); diff != "" {
+	if diff := cmp.Diff(want, d.router.routed()); diff != "" {
 		t.Errorf("requests to the router (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(int32(1), barrier.calls.Load()); diff != "" {
-		t.Errorf("barriers (-want +got):\n%s", diff)
+		t.Errorf("barrier calls (-want +got):\n%s", diff)
 	}
 }
 
-// TestSavepointSettings guards against a SET that was rolled back to a
-// savepoint being replayed on another connection, and against the connection
-// that holds the settings being lost.
+// TestSavepointSettings guards against replaying a SET on another connection after
+// it was rolled back to a savepoint. Such a session must keep its connection.
 func TestSavepointSettings(t *testing.T) {
-	for name, mode := range modes() {
+	for name, mode := range protocolModes() {
 		t.Run(name, func(t *testing.T) {
-			d := deploy(t, writes, nil)
+			d := deploy(t, scriptedPrimary, nil)
 			first, second := d.connect(t, mode), d.connect(t, mode)
 			inTransaction := []string{"begin", "savepoint a", "set statement_timeout = '7s'", "rollback to a", "commit"}
 			for _, sql := range inTransaction {
@@ -147,9 +148,9 @@
 	}
 }
 
-// TestExtendedCopy guards against answers and connections that get out of step
-// when COPY runs through the extended protocol, where the server drops a Sync
-// that comes before the data.
+// TestExtendedCopy guards against responses and connections getting out of sync
+// when COPY runs in the extended protocol, where the server ignores a Sync that
+// arrives before the data.
 func TestExtendedCopy(t *testing.T) {
 	script := func(sql string) reply {
 		if strings.HasPrefix(sql, "copy") {
@@ -172,8 +173,8 @@
 				messages = append(messages, &pgproto3.Flush{})
 			}
 			messages = append(messages, &pgproto3.CopyData{Data: []byte("1\n")}, &pgproto3.CopyDone{}, &pgproto3.Sync{})
-			ask(t, hijacked, messages...)
-			got := ask(t, hijacked, &pgproto3.Query{String: "select 1"})
+			sendAndRead(t, hijacked, messages...)
+			got := sendAndRead(t, hijacked, &pgproto3.Query{String: "select 1"})
 			if diff := cmp.Diff("primary", got); diff != "" {
 				t.Errorf("row after the COPY (-want +got):\n%s", diff)
 			}
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -10,130 +10,135 @@
 	"github.com/nutmegpier/nutmegpier/backend"
 )
 
-// maxHeld bounds the messages that are held until a commit is durable, in bytes.
-const maxHeld = 1 << 20
+// maxHeldBytes limits the size of the messages that are held back until a commit is
+// durable.
+const maxHeldBytes = 1 << 20
 
-// maxUnread is the size of a batch, in bytes, that is sent before its answers
-// are read. It is well below the socket buffers on the way.
-const maxUnread = 32 << 10
+// maxUnreadBytes is the largest batch, in bytes, that is sent completely before its
+// replies are read. It is well below the size of the socket buffers in between.
+const maxUnreadBytes = 32 << 10
 
-// errTruncated ends a session to which a part of a message was sent, since an
-// error message after it would be taken for the rest of it.
-var errTruncated = errors.New("the backend server was lost inside a message")
+// errTruncated ends a session to which only part of a message was sent: the caller
+// would take an error message for the rest of it.
+var errTruncated = errors.New("the connection to the backend server was lost in the middle of a message")
 
-// relayState is the state of one relayed answer.
+// relayState is the state of relaying one response.
 type relayState struct {
-	answer  answer
+	relayResult relayResult
+	// holding says that heldMessages contains messages of this response.
 	holding bool
+	// inBlock says that the request runs in a transaction block that can't move to
+	// another server, because statements ran in it.
 	inBlock bool
 }
 
-// attempt sends a request to the leased connection and relays the answer. An
-// error ends the session.
-func (s *session) attempt(r *request) (answer, error) {
+// attempt sends a request on the leased connection and relays the response. A
+// returned error ends the session.
+func (s *session) attempt(r *request) (relayResult, error) {
 	conn := s.lease.Conn()
-	s.operation = s.operation[:0]
+	s.pendingReply = s.pendingReply[:0]
 	s.rolledBack = false
-	s.parsed = 0
-	if !s.commitTag {
-		s.held = s.held[:0]
+	s.completedParses = 0
+	if !s.holdingCommit {
+		s.heldMessages = s.heldMessages[:0]
 	}
-	if r.synced {
+	if r.endsWithSync {
 		conn.Begin()
 	} else {
 		conn.BeginUnsynced()
 	}
-	if !r.simple && len(s.batch.data) > maxUnread {
-		return s.attemptLong(r, conn)
+	if !r.simpleQuery && len(s.batch.data) > maxUnreadBytes {
+		return s.attemptLongBatch(r, conn)
 	}
 	if err := s.send(r, conn); err != nil {
-		return answer{err: err}, nil
+		return relayResult{err: err}, nil
 	}
 	if err := conn.Flush(); err != nil {
-		return answer{err: err}, nil
+		return relayResult{err: err}, nil
 	}
 	return s.relay(r, conn)
 }
 
-// attemptLong sends a long batch while the answers are relayed.
-func (s *session) attemptLong(r *request, conn *backend.Conn) (answer, error) {
+// attemptLongBatch sends a long batch in the background while it relays the
+// replies.
+func (s *session) attemptLongBatch(r *request, conn *backend.Conn) (relayResult, error) {
 	conn.Hold()
 	if err := s.send(r, conn); err != nil {
-		return answer{err: err}, nil
+		return relayResult{err: err}, nil
 	}
-	s.sending = conn.FlushAsync()
+	s.sendResult = conn.FlushAsync()
 	result, err := s.relay(r, conn)
 	if result.err == nil && err == nil {
-		result.err = s.awaitSent()
+		result.err = s.awaitSendResult()
 	}
-	s.sending = nil
+	s.sendResult = nil
 	return result, err
 }
 
-// awaitSent waits until a long batch was sent.
-func (s *session) awaitSent() error {
-	if s.sending == nil {
+// awaitSendResult waits until a long batch is sent completely.
+func (s *session) awaitSendResult() error {
+	if s.sendResult == nil {
 		return nil
 	}
-	err := <-s.sending
-	s.sending = nil
+	err := <-s.sendResult
+	s.sendResult = nil
 	if err != nil {
 		return &backend.Error{Op: "write", Kind: backend.KindConnection, Err: err}
 	}
 	return nil
 }
 
-// relay passes the server's messages on until the answer is complete.
-func (s *session) relay(r *request, conn *backend.Conn) (answer, error) {
-	state := relayState{holding: s.commitTag, inBlock: s.tx != backend.TxIdle && s.begin == ""}
+// relay relays the server's messages to the caller until the response is complete.
+func (s *session) relay(r *request, conn *backend.Conn) (relayResult, error) {
+	state := relayState{holding: s.holdingCommit, inBlock: s.txStatus != backend.TxIdle && s.replayableBegin == ""}
 	for {
-		s.answerLocal()
-		if !r.synced && (len(s.operation) == 0 || state.answer.code != "") {
-			s.skipping = state.answer.code != ""
-			return state.answer, nil
+		s.sendLocalReplies()
+		if !r.endsWithSync && (len(s.pendingReply) == 0 || state.relayResult.code != "") {
+			s.skippingToSync = state.relayResult.code != ""
+			return state.relayResult, nil
 		}
 		if !conn.Buffered() && s.writer.Flushed() {
 			if err := s.writer.Flush(); err != nil {
-				return state.answer, err
+				return state.relayResult, err
 			}
 		}
 		frame, err := conn.Next()
 		if err != nil {
-			state.answer.err = err
-			return state.answer, nil
+			state.relayResult.err = err
+			return state.relayResult, nil
 		}
-		if frame.Type == 'Z' {
-			return state.answer, nil
+		if frame.Type == 'Z' { // ReadyForQuery
+			return state.relayResult, nil
 		}
 		if err := s.relayFrame(r, conn, frame, &state); err != nil {
 			if s.writer.Failed() != nil || !isBackendError(err) {
-				return state.answer, err
+				return state.relayResult, err
 			}
-			state.answer.err = err
-			return state.answer, nil
+			state.relayResult.err = err
+			return state.relayResult, nil
 		}
 	}
 }
 
-// relayFrame passes one message on, holds it or swallows it.
+// relayFrame relays, holds back or drops one message of the server.
 func (s *session) relayFrame(r *request, conn *backend.Conn, frame backend.Frame, state *relayState) error {
-	if state.answer.rerun {
+	if state.relayResult.refused {
 		return nil
 	}
 	switch frame.Type {
-	case 'E':
+	case 'E': // ErrorResponse
 		return s.relayError(r, conn, state)
-	case 'S':
+	case 'S': // ParameterStatus
 		return s.relayParameter(conn)
-	case 'A':
+	case 'A': // NotificationResponse
 		return nil
-	case 'N':
+	case 'N': // NoticeResponse
 		return conn.CopyTo(s.writer)
 	}
-	if s.isSwallowed(frame.Type) {
+	if s.consumeReply(frame.Type) {
 		return nil
 	}
-	if frame.Type == 'C' {
+	if frame.Type == 'C' { // CommandComplete
 		body, err := conn.Body()
 		if err != nil {
 			return err
@@ -141,15 +146,15 @@
 		s.rolledBack = string(body) == "ROLLBACK\x00"
 	}
 	if frame.Type == 'C' && s.lease.Primary() {
-		return s.hold(conn, frame, state)
+		return s.holdCommandComplete(conn, frame, state)
 	}
-	if state.holding && s.commitTag {
-		return s.holdMore(conn, frame)
+	if state.holding && s.holdingCommit {
+		return s.holdAfterCommit(conn, frame)
 	}
 	if state.holding {
 		state.holding = false
-		_ = s.writer.Raw(s.held)
-		s.held = s.held[:0]
+		_ = s.writer.Raw(s.heldMessages)
+		s.heldMessages = s.heldMessages[:0]
 	}
 	if err := conn.CopyTo(s.writer); err != nil {
 		if conn.Truncated() {
@@ -158,18 +163,18 @@
 		return err
 	}
 	switch frame.Type {
-	case 'D', 'd', 'H':
+	case 'D', 'd', 'H': // DataRow, CopyData, CopyOutResponse
 		return s.flushRows(conn)
-	case 'G':
+	case 'G': // CopyInResponse
 		return s.copyIn(r, conn)
-	case 'W':
+	case 'W': // CopyBothResponse
 		return &Error{Op: "relay", Kind: KindUnsupported, Err: errors.New("replication isn't supported")}
 	}
 	return nil
 }
 
-// flushRows passes rows on when the server has no more of them ready. After
-// that the request can't be rerun.
+// flushRows flushes rows to the caller when no more bytes of the server are
+// buffered. After a flush the request can't be rerun.
 func (s *session) flushRows(conn *backend.Conn) error {
 	if conn.Buffered() {
 		return nil
@@ -177,79 +182,84 @@
 	return s.writer.Flush()
 }
 
-// hold keeps a CommandComplete back until it is known whether it acknowledges
-// a commit. An earlier one that is held acknowledges none.
-func (s *session) hold(conn *backend.Conn, frame backend.Frame, state *relayState) error {
+// holdCommandComplete holds a CommandComplete back until it is known whether it
+// acknowledges a commit. An earlier one of the same response is released first,
+// because it acknowledged no commit, unless its tag was COMMIT.
+func (s *session) holdCommandComplete(conn *backend.Conn, frame backend.Frame, state *relayState) error {
 	body, err := conn.Body()
 	if err != nil {
 		return err
 	}
-	if state.holding && !s.commitTag {
-		if err := s.writer.Raw(s.held); err != nil {
+	if state.holding && !s.holdingCommit {
+		if err := s.writer.Raw(s.heldMessages); err != nil {
 			return err
 		}
-		s.held = s.held[:0]
+		s.heldMessages = s.heldMessages[:0]
 	}
 	state.holding = true
-	s.commitTag = s.commitTag || strings.HasPrefix(string(body), "COMMIT")
-	s.holdRaw(frame, body)
+	s.holdingCommit = s.holdingCommit || strings.HasPrefix(string(body), "COMMIT")
+	s.appendHeld(frame, body)
 	return nil
 }
 
-// holdMore keeps back what follows the CommandComplete of a COMMIT.
-func (s *session) holdMore(conn *backend.Conn, frame backend.Frame) error {
-	if len(s.held)+frame.Size > maxHeld {
+// holdAfterCommit holds back a message that follows the CommandComplete of a
+// COMMIT.
+func (s *session) holdAfterCommit(conn *backend.Conn, frame backend.Frame) error {
+	if len(s.heldMessages)+frame.Size > maxHeldBytes {
 		return &Error{Op: "relay", Kind: KindUnknownOutcome, Outcome: OutcomeUnknown, Err: errors.New("too many rows follow a COMMIT in the same request")}
 	}
 	body, err := conn.Body()
 	if err != nil {
 		return err
 	}
-	s.holdRaw(frame, body)
+	s.appendHeld(frame, body)
 	return nil
 }
 
-func (s *session) holdRaw(frame backend.Frame, body []byte) {
+// appendHeld appends a message to the messages that are held back.
+func (s *session) appendHeld(frame backend.Frame, body []byte) {
 	var header [headerSize]byte
 	header[0] = frame.Type
 	binary.BigEndian.PutUint32(header[1:], uint32(frame.Size+4))
-	s.held = append(s.held, header[:]...)
-	s.held = append(s.held, body...)
+	s.heldMessages = append(s.heldMessages, header[:]...)
+	s.heldMessages = append(s.heldMessages, body...)
 }
 
-// relayError passes an error of the server on with its outcome. A refusal to
-// write that came before anything was passed on asks for a rerun instead.
+// relayError relays an error of the server and adds the outcome. If the server
+// refused a write and nothing was sent to the caller yet, the error is kept and the
+// request can be rerun instead.
 func (s *session) relayError(r *request, conn *backend.Conn, state *relayState) error {
 	body, err := conn.Body()
 	if err != nil {
 		return err
 	}
-	var failure pgproto3.ErrorResponse
-	if err := failure.Decode(body); err != nil {
+	var serverError pgproto3.ErrorResponse
+	if err := serverError.Decode(body); err != nil {
 		return &backend.Error{Op: "relay", Kind: backend.KindProtocol, Err: err}
 	}
-	if failure.Severity == "FATAL" || failure.Severity == "PANIC" {
-		return &backend.Error{Op: "relay", Kind: backend.KindConnection, Code: failure.Code, Err: errors.New("the server closes the connection")}
+	if serverError.Severity == "FATAL" || serverError.Severity == "PANIC" {
+		return &backend.Error{Op: "relay", Kind: backend.KindConnection, Code: serverError.Code, Err: errors.New("the backend server closed the connection with a FATAL or PANIC error")}
 	}
-	if state.answer.code == "" {
-		state.answer.code = failure.Code
+	if state.relayResult.code == "" {
+		state.relayResult.code = serverError.Code
 	}
-	s.forgetFailed(conn)
-	if failure.Code == codeReadOnly && !state.inBlock && r.synced && r.mayFollowRefusal() && !s.pinned && !s.writer.Flushed() {
-		state.answer.failure = &failure
-		state.answer.rerun = true
+	s.unmarkUnparsed(conn)
+	if serverError.Code == sqlstateReadOnly && !state.inBlock && r.endsWithSync && r.canRerunAfterRefusal() && !s.pinned && !s.writer.Flushed() {
+		state.relayResult.serverError = &serverError
+		state.relayResult.refused = true
 		return nil
 	}
 	if state.holding {
 		state.holding = false
-		_ = s.writer.Raw(s.held)
-		s.held = s.held[:0]
+		_ = s.writer.Raw(s.heldMessages)
+		s.heldMessages = s.heldMessages[:0]
 	}
-	extendDetail(&failure)
-	return s.writer.Message(&failure)
+	appendOutcome(&serverError)
+	return s.writer.Message(&serverError)
 }
 
-// relayParameter passes a changed parameter on, but for the group's position.
+// relayParameter relays a ParameterStatus, except for the group position, which
+// only the proxy uses, and the application name, which is the proxy's own.
 func (s *session) relayParameter(conn *backend.Conn) error {
 	body, err := conn.Body()
 	if err != nil {
@@ -261,49 +271,49 @@
 	return conn.CopyTo(s.writer)
 }
 
-// copyIn passes COPY data of the caller on until it ends.
+// copyIn relays COPY data from the caller to the server until it ends.
 func (s *session) copyIn(r *request, conn *backend.Conn) error {
 	if err := s.writer.Flush(); err != nil {
 		return err
 	}
-	if err := s.awaitSent(); err != nil {
+	if err := s.awaitSendResult(); err != nil {
 		return err
 	}
 	_ = s.conn.SetReadDeadline(s.server.config.Now().Add(s.server.config.IdleTimeout))
-	ended := false
+	dataEnded := false
 	for {
 		frame, err := s.reader.Next()
 		if err != nil {
 			return err
 		}
 		switch frame.Type {
-		case 'd':
+		case 'd': // CopyData
 			if err := conn.SendFrom(s.reader); err != nil {
 				return err
 			}
 			continue
-		case 'H':
+		case 'H': // Flush
 			if err := conn.Flush(); err != nil {
 				return err
 			}
 			continue
-		case 'c', 'f', 'S':
+		case 'c', 'f', 'S': // CopyDone, CopyFail, Sync
 		default:
 			return &Error{Op: "copy", Kind: KindProtocol, Err: errors.New("unexpected message during COPY")}
 		}
 		if err := conn.SendFrom(s.reader); err != nil {
 			return err
 		}
-		// In an extended query the server drops the Sync that came before the
-		// data, so the one after the data is passed on too. A Sync inside the
-		// data ends nothing.
-		ended = ended || frame.Type != 'S'
-		if !ended || !r.simple && r.synced && frame.Type != 'S' {
+		// In the extended protocol the server ignores a Sync that arrives before
+		// the end of the data, so the Sync after the data is relayed too. A Sync
+		// within the data doesn't end it.
+		dataEnded = dataEnded || frame.Type != 'S'
+		if !dataEnded || !r.simpleQuery && r.endsWithSync && frame.Type != 'S' {
 			continue
 		}
-		if !r.synced {
-			// Without Sync the server keeps its answer until it is asked for it.
-			if err := sendNamed(conn, 'H'); err != nil {
+		if !r.endsWithSync {
+			// Without a Sync the server sends its reply only after a Flush.
+			if err := sendParts(conn, 'H'); err != nil {
 				return err
 			}
 		}
@@ -311,15 +321,17 @@
 	}
 }
 
-// extendDetail adds the outcome to an error of the server.
-func extendDetail(failure *pgproto3.ErrorResponse) {
+// appendOutcome adds the outcome to the detail of an error of the server.
+func appendOutcome(failure *pgproto3.ErrorResponse) {
 	if failure.Detail != "" {
 		failure.Detail += "\n"
 	}
-	failure.Detail += detail(OutcomeFailed)
+	failure.Detail += outcomeDetail(OutcomeFailed)
 }
 
+// isBackendError reports whether the backend connection failed, rather than the
+// connection to the caller.
 func isBackendError(err error) bool {
-	var failed *backend.Error
-	return errors.As(err, &failed)
+	var backendErr *backend.Error
+	return errors.As(err, &backendErr)
 }
--- a/caller/relay_test.go
+++ b/caller/relay_test.go
@@ -14,23 +14,24 @@
 	"github.com/nutmegpier/nutmegpier/caller"
 )
 
-// failure returns SQLSTATE and detail of an error of the server.
-func failure(t *testing.T, err error) [2]string {
+// errorFields returns the SQLSTATE and the detail of an error sent by the server.
+func errorFields(t *testing.T, err error) [2]string {
 	t.Helper()
-	var known *pgconn.PgError
-	if !errors.As(err, &known) {
-		t.Fatalf("error %v isn't an answer of the server", err)
+	var pgErr *pgconn.PgError
+	if !errors.As(err, &pgErr) {
+		t.Fatalf("got error %v, want one sent by the server", err)
 	}
-	return [2]string{known.Code, known.Detail}
+	return [2]string{pgErr.Code, pgErr.Detail}
 }
 
-// modes are the ways in which pgx sends a statement.
-func modes() map[string]func(*pgx.ConnConfig) {
+// protocolModes returns the protocols in which pgx can send a statement.
+func protocolModes() map[string]func(*pgx.ConnConfig) {
 	return map[string]func(*pgx.ConnConfig){"Extended": extendedMode, "Simple": simpleMode}
 }
 
-// writes answers writes with a commit position and reads with a row.
-func writes(sql string) reply {
+// scriptedPrimary is the script of a primary: it answers writes with a commit
+// position and reads with a row.
+func scriptedPrimary(sql string) reply {
 	lower := strings.ToLower(sql)
 	switch {
 	case strings.HasPrefix(lower, "insert"):
@@ -41,18 +42,19 @@
 	return oneRow("primary")(sql)
 }
 
-// readOnly refuses writes as a replica does.
-func readOnly(sql string) reply {
+// scriptedReplica is the script of a replica: it refuses writes and answers reads
+// with a row.
+func scriptedReplica(sql string) reply {
 	if strings.HasPrefix(strings.ToLower(sql), "select write") {
 		return reply{code: "25006"}
 	}
 	return reply{rows: []string{"replica"}, tag: "SELECT 1", position: "1/3"}
 }
 
-// TestWriteWaitsForCommit guards against a write that is acknowledged before
-// a majority holds it, and against a wrong outcome in the answer.
+// TestWriteWaitsForCommit guards against acknowledging a write before a majority
+// has it, and against reporting a wrong outcome.
 func TestWriteWaitsForCommit(t *testing.T) {
-	for name, mode := range modes() {
+	for name, mode := range protocolModes() {
 		for _, tc := range []struct {
 			outcome caller.Outcome
 			want    [2]string
@@ -62,26 +64,26 @@
 			{caller.OutcomeUnknown, [2]string{"40003", "Outcome: Unknown"}},
 		} {
 			t.Run(name+string(tc.outcome), func(t *testing.T) {
-				awaits := make(chan chan caller.Outcome)
-				d := deploy(t, writes, nil)
-				d.policy.awaits = awaits
+				pendingCommits := make(chan chan caller.Outcome)
+				d := deploy(t, scriptedPrimary, nil)
+				d.policy.pendingCommits = pendingCommits
 				conn := d.connect(t, mode)
 				done := make(chan error, 1)
 				go func() {
 					_, err := conn.Exec(context.Background(), "insert into t values (1)")
 					done <- err
 				}()
-				decide := <-awaits
+				answerCommit := <-pendingCommits
 				select {
 				case err := <-done:
-					t.Fatalf("answered before the evidence: %v", err)
+					t.Fatalf("response received before the commit outcome was known: %v", err)
 				default:
 				}
-				decide <- tc.outcome
+				answerCommit <- tc.outcome
 				err := <-done
 				var got [2]string
 				if err != nil {
-					got = failure(t, err)
+					got = errorFields(t, err)
 				}
 				if diff := cmp.Diff(tc.want, got); diff != "" {
 					t.Errorf("error (-want +got):\n%s", diff)
@@ -98,10 +100,11 @@
 	}
 }
 
-// TestTokenHandover guards against a session position that is lost or changed
-// when it is handed over, and against tokens of other groups.
+// TestTokenHandover guards against a session token losing or changing its position
+// when the caller passes it to a new session, and against accepting tokens of other
+// groups.
 func TestTokenHandover(t *testing.T) {
-	d := deploy(t, writes, readOnly)
+	d := deploy(t, scriptedPrimary, scriptedReplica)
 	token := func(text string) func(*pgx.ConnConfig) {
 		return func(config *pgx.ConnConfig) { config.RuntimeParams[caller.TokenParameter] = text }
 	}
@@ -116,22 +119,22 @@
 		config.RuntimeParams["options"] = "-c nutmegpier.session=v1:plant1:4/4:3/3"
 	})
 	if diff := cmp.Diff("v1:plant1:4/4:3/3", options.PgConn().ParameterStatus(caller.TokenParameter)); diff != "" {
-		t.Errorf("token of options (-want +got):\n%s", diff)
+		t.Errorf("token from the options parameter (-want +got):\n%s", diff)
 	}
 	for _, text := range []string{"v1:plant2:1/2:0/0", "v2:plant1:1/2:0/0", "v1:plant1:1", "v1:plant1:x/2:0/0"} {
 		_, err := d.tryConnect(token(text))
-		if diff := cmp.Diff([2]string{"22023", "Outcome: NotRun"}, failure(t, err)); diff != "" {
+		if diff := cmp.Diff([2]string{"22023", "Outcome: NotRun"}, errorFields(t, err)); diff != "" {
 			t.Errorf("token %q (-want +got):\n%s", text, diff)
 		}
 	}
 }
 
-// TestRerunOnPrimary guards against a read that turns out to write failing on
-// a replica although nothing ran.
+// TestRerunOnPrimary guards against failing a read that turns out to write. The
+// replica refuses it and nothing ran, so it must be rerun on the primary.
 func TestRerunOnPrimary(t *testing.T) {
-	for name, mode := range modes() {
+	for name, mode := range protocolModes() {
 		t.Run(name, func(t *testing.T) {
-			d := deploy(t, writes, readOnly)
+			d := deploy(t, scriptedPrimary, scriptedReplica)
 			conn := d.connect(t, mode)
 			var got string
 			if err := conn.QueryRow(context.Background(), "select write()").Scan(&got); err != nil {
@@ -144,38 +147,39 @@
 	}
 }
 
-// TestBackendLost guards against a wrong outcome when the backend server dies,
-// and against statements of a lost transaction running on their own.
+// TestBackendLost guards against a wrong outcome when the connection to the backend
+// server is lost, and against running the remaining statements of a lost
+// transaction outside it.
 func TestBackendLost(t *testing.T) {
-	hangUp := func(sql string) reply {
+	disconnect := func(sql string) reply {
 		if sql == "commit" || strings.Contains(sql, "die") {
-			return reply{hangUp: true}
+			return reply{disconnect: true}
 		}
-		return writes(sql)
+		return scriptedPrimary(sql)
 	}
-	for name, mode := range modes() {
+	for name, mode := range protocolModes() {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
-			d := deploy(t, hangUp, nil)
+			d := deploy(t, disconnect, nil)
 			conn := d.connect(t, mode)
 			_, err := conn.Exec(ctx, "insert into die values (1)")
-			if diff := cmp.Diff([2]string{"40003", "Outcome: Unknown"}, failure(t, err)); diff != "" {
-				t.Errorf("autocommit write (-want +got):\n%s", diff)
+			if diff := cmp.Diff([2]string{"40003", "Outcome: Unknown"}, errorFields(t, err)); diff != "" {
+				t.Errorf("autocommit write whose connection is lost (-want +got):\n%s", diff)
 			}
 			mustExec(t, conn, "begin")
 			_, err = conn.Exec(ctx, "insert into die values (1)")
-			if diff := cmp.Diff([2]string{"08006", "Outcome: NotRun"}, failure(t, err)); diff != "" {
-				t.Errorf("in a transaction (-want +got):\n%s", diff)
+			if diff := cmp.Diff([2]string{"08006", "Outcome: NotRun"}, errorFields(t, err)); diff != "" {
+				t.Errorf("write in a transaction whose connection is lost (-want +got):\n%s", diff)
 			}
 			_, err = conn.Exec(ctx, "insert into t values (2)")
-			if diff := cmp.Diff([2]string{"25P02", "Outcome: NotRun"}, failure(t, err)); diff != "" {
-				t.Errorf("after the loss (-want +got):\n%s", diff)
+			if diff := cmp.Diff([2]string{"25P02", "Outcome: NotRun"}, errorFields(t, err)); diff != "" {
+				t.Errorf("statement after the connection was lost (-want +got):\n%s", diff)
 			}
 			mustExec(t, conn, "rollback")
 			mustExec(t, conn, "begin")
 			_, err = conn.Exec(ctx, "commit")
-			if diff := cmp.Diff([2]string{"40003", "Outcome: Unknown"}, failure(t, err)); diff != "" {
-				t.Errorf("commit (-want +got):\n%s", diff)
+			if diff := cmp.Diff([2]string{"40003", "Outcome: Unknown"}, errorFields(t, err)); diff != "" {
+				t.Errorf("COMMIT whose connection is lost (-want +got):\n%s", diff)
 			}
 			mustExec(t, conn, "insert into t values (3)")
 		})
@@ -189,10 +193,10 @@
 	}
 }
 
-// TestSessionsShareConnection guards against settings of one session showing
-// in another that uses the same backend connection.
+// TestSessionsShareConnection guards against settings of one session affecting
+// another session that uses the same backend connection.
 func TestSessionsShareConnection(t *testing.T) {
-	for name, mode := range modes() {
+	for name, mode := range protocolModes() {
 		t.Run(name, func(t *testing.T) {
 			d := deploy(t, oneRow("primary"), nil)
 			first, second := d.connect(t, mode), d.connect(t, mode)
@@ -226,48 +230,48 @@
 	return kept
 }
 
-// TestErrorStatesOutcome guards against errors that don't say whether the
-// request ran, and against a failed batch upsetting later ones.
+// TestErrorStatesOutcome guards against errors that don't state whether the request
+// ran, and against a failed request affecting later ones.
 func TestErrorStatesOutcome(t *testing.T) {
 	script := func(sql string) reply {
 		if strings.Contains(sql, "bad") {
 			return reply{code: "22012"}
 		}
-		return writes(sql)
+		return scriptedPrimary(sql)
 	}
-	for name, mode := range modes() {
+	for name, mode := range protocolModes() {
 		t.Run(name, func(t *testing.T) {
 			d := deploy(t, script, nil)
 			conn := d.connect(t, mode)
 			for range 2 {
 				_, err := conn.Exec(context.Background(), "insert bad")
-				if diff := cmp.Diff([2]string{"22012", "Outcome: Failed"}, failure(t, err)); diff != "" {
+				if diff := cmp.Diff([2]string{"22012", "Outcome: Failed"}, errorFields(t, err)); diff != "" {
 					t.Errorf("error (-want +got):\n%s", diff)
 				}
 				mustExec(t, conn, "insert into t values (1)")
 			}
 			_, err := conn.Exec(context.Background(), "listen news")
-			if diff := cmp.Diff([2]string{"0A000", "Outcome: NotRun"}, failure(t, err)); diff != "" {
-				t.Errorf("listen (-want +got):\n%s", diff)
+			if diff := cmp.Diff([2]string{"0A000", "Outcome: NotRun"}, errorFields(t, err)); diff != "" {
+				t.Errorf("LISTEN (-want +got):\n%s", diff)
 			}
-			d.policy.decide(caller.Decision{Serving: true, RetryAfter: 30 * time.Millisecond})
+			d.policy.setDecision(caller.Decision{Serving: true, RetryAfter: 30 * time.Millisecond})
 			_, err = conn.Exec(context.Background(), "select 1")
-			if diff := cmp.Diff([2]string{"53400", "Outcome: NotRun"}, failure(t, err)); diff != "" {
-				t.Errorf("over the rate (-want +got):\n%s", diff)
+			if diff := cmp.Diff([2]string{"53400", "Outcome: NotRun"}, errorFields(t, err)); diff != "" {
+				t.Errorf("request over the rate (-want +got):\n%s", diff)
 			}
-			d.policy.decide(caller.Decision{Admitted: true})
+			d.policy.setDecision(caller.Decision{Admitted: true})
 			_, err = conn.Exec(context.Background(), "select 1")
-			if diff := cmp.Diff([2]string{"57P03", "Outcome: NotRun"}, failure(t, err)); diff != "" {
-				t.Errorf("not serving (-want +got):\n%s", diff)
+			if diff := cmp.Diff([2]string{"57P03", "Outcome: NotRun"}, errorFields(t, err)); diff != "" {
+				t.Errorf("request while the instance isn't serving (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestCopy guards against COPY data that is lost or changed, also when it is
-// larger than the buffers.
+// TestCopy guards against losing or changing COPY data, also if it is larger than
+// the buffers.
 func TestCopy(t *testing.T) {
-	d := deploy(t, writes, nil)
+	d := deploy(t, scriptedPrimary, nil)
 	conn := d.connect(t)
 	ctx := context.Background()
 	data := strings.Repeat("0123456789\n", 20000)
@@ -279,15 +283,15 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(data, got.String()); diff != "" {
-		t.Errorf("data came back changed: %d bytes of %d", got.Len(), len(data))
+		t.Errorf("COPY data differs: got %d bytes, want %d", got.Len(), len(data))
 	}
 	mustExec(t, conn, "select 1")
 }
 
-// TestPipeline guards against answers of pipelined statements getting out of
-// step, also when the same name is used for several statements.
+// TestPipeline guards against responses of pipelined statements getting out of
+// order, also if one name is used for several statements.
 func TestPipeline(t *testing.T) {
-	d := deploy(t, writes, nil)
+	d := deploy(t, scriptedPrimary, nil)
 	ctx := context.Background()
 	for _, mode := range []pgx.QueryExecMode{pgx.QueryExecModeCacheStatement, pgx.QueryExecModeExec, pgx.QueryExecModeDescribeExec} {
 		conn := d.connect(t, func(config *pgx.ConnConfig) { config.DefaultQueryExecMode = mode })
@@ -315,8 +319,8 @@
 	}
 }
 
-// TestLongPipeline guards against a pipeline that blocks because neither side
-// reads: the fake's connections have no buffers at all.
+// TestLongPipeline guards against a deadlock in which the proxy and the server both
+// write and neither reads. The pipes to the fake server have no buffers.
 func TestLongPipeline(t *testing.T) {
 	script := func(sql string) reply {
 		return reply{rows: []string{strings.Repeat("y", 1000)}, tag: "SELECT 1"}
--- a/caller/request.go
+++ b/caller/request.go
@@ -9,56 +9,73 @@
 
 	"github.com/nutmegpier/nutmegpier/backend"
 	"github.com/nutmegpier/nutmegpier/fleet"
-	core "github.com/nutmegpier/nutmegpier/session"
+	sessionpkg "github.com/nutmegpier/nutmegpier/session"
 )
 
-// maxKeptHeld is the size of the buffer for held messages that an idle session
-// keeps, in bytes.
-const maxKeptHeld = 4 << 10
+// maxIdleHeldBytes is the largest buffer for held messages that an idle session
+// keeps.
+const maxIdleHeldBytes = 4 << 10
 
-// codeReadOnly is the SQLSTATE with which a replica or a fenced primary
-// refuses a write. It proves that nothing ran.
-const codeReadOnly = "25006"
+// sqlstateReadOnly is the SQLSTATE with which a replica or a fenced primary refuses
+// a write. It proves that nothing ran.
+const sqlstateReadOnly = "25006"
 
-// request is what a batch asks for.
+// request describes what a simple query or a batch needs.
 type request struct {
-	access     Access
-	arrivedAt  time.Time
-	begins     int
-	commits    bool
-	control    bool
+	// access says whether the request needs the primary.
+	access    Access
+	arrivedAt time.Time
+	// begins is the number of BEGIN statements.
+	begins int
+	// commits says that the request contains a COMMIT.
+	commits bool
+	// controlsTransaction says that the request begins or ends a transaction, or
+	// rolls back to a savepoint.
+	controlsTransaction bool
+	// idempotent says that the caller allows a rerun even if the request may have
+	// run.
 	idempotent bool
-	maxAge     time.Duration
-	priority   int
-	simple     bool
-	sql        string
+	// maxAge is the maximum age of the data that a read returns. Zero means no limit.
+	maxAge time.Duration
+	// priority is the queue priority of the route.
+	priority int
+	// simpleQuery says that the request is a Query message, with the SQL text sql.
+	// Otherwise it is the batch of the session.
+	simpleQuery bool
+	sql         string
+	// statements is the number of statements that aren't empty.
 	statements int
-	synced     bool
-	// timeout bounds the request; zero means no bound of its own.
+	// endsWithSync says that the server ends its response with ReadyForQuery. It is
+	// false for a batch that ends with a Flush.
+	endsWithSync bool
+	// timeout is the statement timeout of the route. Zero means none.
 	timeout time.Duration
-	touches bool
+	// mayChangeSession says that a statement may change session state in a way that
+	// the proxy can't see.
+	mayChangeSession bool
 }
 
-// answer is what relaying a batch led to.
-type answer struct {
+// relayResult is the result of sending a request to a server and relaying the
+// response.
+type relayResult struct {
 	// code is the SQLSTATE of the first error of the server, or empty.
 	code string
-	// err says that the backend connection failed.
+	// err is set if the backend connection failed.
 	err error
-	// failure is the error that wasn't passed on because of rerun.
-	failure *pgproto3.ErrorResponse
-	// rerun says that the server proved that nothing ran, and that nothing
-	// was passed on to the caller.
-	rerun bool
+	// serverError is the refusal that wasn't relayed yet, if refused is set.
+	serverError *pgproto3.ErrorResponse
+	// refused says that the server refused a write before anything ran and that
+	// nothing was sent to the caller.
+	refused bool
 }
 
-// include takes one statement into account.
-func (r *request) include(c *Classification) {
+// addClassification adds the properties of an SQL text to the request.
+func (r *request) addClassification(c *Classification) {
 	if c.Access() == AccessWrite {
 		r.access = AccessWrite
 	}
 	r.idempotent = r.idempotent || c.Hints.Idempotent
-	r.control = r.control || c.ControlsTransaction()
+	r.controlsTransaction = r.controlsTransaction || c.ControlsTransaction()
 	if c.Hints.MaxAge > 0 {
 		r.maxAge = c.Hints.MaxAge
 	}
@@ -70,46 +87,48 @@
 			r.statements++
 		}
 		r.commits = r.commits || s.Verb == VerbCommit
-		r.touches = r.touches || s.MayChangeSession
+		r.mayChangeSession = r.mayChangeSession || s.MayChangeSession
 	}
 }
 
-// mayFollowRefusal reports whether the request can run on another server after
-// this one refused to write. Of those that control a transaction only a single
-// BEGIN can: a server that is being fenced refuses it, and nothing ran.
-func (r *request) mayFollowRefusal() bool {
-	return !r.control || (r.begins == 1 && r.statements == 1)
+// canRerunAfterRefusal reports whether the request can run on another server after
+// this one refused a write. Of the requests that control a transaction only a
+// single BEGIN can: a server that is being fenced refuses it, and nothing ran.
+func (r *request) canRerunAfterRefusal() bool {
+	return !r.controlsTransaction || (r.begins == 1 && r.statements == 1)
 }
 
-// simple handles a simple query.
-func (s *session) simple() error {
+// simpleQuery handles a Query message.
+func (s *session) simpleQuery() error {
 	body, err := s.reader.Body()
 	if err != nil {
 		return err
 	}
 	if len(body) == 0 || body[len(body)-1] != 0 {
-		return malformed("Query")
+		return malformedError("Query")
 	}
 	if len(s.batch.messages) > 0 {
 		return &Error{Op: "read", Kind: KindProtocol, Err: errors.New("a simple query inside an extended one isn't supported")}
 	}
-	s.skipping = false
+	s.skippingToSync = false
 	sql := string(body[:len(body)-1])
 	class := Classify(sql)
 	r := s.newRequest()
-	r.simple, r.synced = true, true
-	r.include(&class)
-	r.sql, err = s.check(&class, sql)
+	r.simpleQuery, r.endsWithSync = true, true
+	r.addClassification(&class)
+	r.sql, err = s.checkStatements(&class, sql)
 	if err != nil {
 		return s.answerError(err)
 	}
-	s.noteChanges(&class)
-	return s.serve(&r)
+	s.recordChanges(&class)
+	return s.serveRequest(&r)
 }
 
+// newRequest returns a request with the properties of the database's route. It also
+// switches the session to the group of the route.
 func (s *session) newRequest() request {
 	route := s.route()
-	s.followRoute(route)
+	s.updateGroup(route)
 	return request{
 		access:    readAccess(route),
 		arrivedAt: s.server.config.Now(),
@@ -119,43 +138,43 @@
 	}
 }
 
-// serve runs a request and answers it. An error ends the session.
-func (s *session) serve(r *request) error {
-	defer s.endRequest()
-	defer s.giveWriter()
-	s.parsed = 0
-	s.takeWriter()
-	if s.lost {
-		return s.serveLost(r)
+// serveRequest runs a request and answers it. A returned error ends the session.
+func (s *session) serveRequest(r *request) error {
+	defer s.resetRequestState()
+	defer s.releaseWriter()
+	s.completedParses = 0
+	s.acquireWriter()
+	if s.transactionLost {
+		return s.serveLostTransaction(r)
 	}
 	if err := s.admit(r); err != nil {
-		s.changes = s.changes[:0]
-		return s.fail(r, err, s.tx)
+		s.pendingChanges = s.pendingChanges[:0]
+		return s.failRequest(r, err, s.txStatus)
 	}
-	s.server.retries.earn()
+	s.server.retries.deposit()
 	return s.runRequest(r)
 }
 
-// endRequest forgets what is kept of a request while it runs.
-func (s *session) endRequest() {
+// resetRequestState clears the state of the completed request.
+func (s *session) resetRequestState() {
 	s.dropUnparsed()
-	if s.tx == backend.TxIdle && !s.flushOpen() {
+	if s.txStatus == backend.TxIdle && !s.awaitingSync() {
 		clear(s.portals)
 	}
 	s.batch.reset()
-	if cap(s.operation) > keptCapacity {
-		s.operation = nil
+	if cap(s.pendingReply) > maxIdleCapacity {
+		s.pendingReply = nil
 	}
-	if len(s.held) == 0 && cap(s.held) > maxKeptHeld {
-		s.held = nil
+	if len(s.heldMessages) == 0 && cap(s.heldMessages) > maxIdleHeldBytes {
+		s.heldMessages = nil
 	}
 }
 
-// runRequest relays a request, on several servers if nothing ran on the first.
+// runRequest runs a request and reruns it on other servers as long as that is safe.
 func (s *session) runRequest(r *request) error {
 	var exclude fleet.ServerID
 	for attempt := 0; ; attempt++ {
-		fresh := s.lease == nil || s.begin != ""
+		movable := s.lease == nil || s.replayableBegin != ""
 		if err := s.ensureLease(r, exclude); err != nil {
 			return s.failAcquire(r, err)
 		}
@@ -169,29 +188,30 @@
 		if result.err != nil {
 			s.server.record(Event{Group: s.group, Name: EventBackendLost, Server: server, Workspace: s.workspace})
 		}
-		if fresh && s.mayRerun(r, result) && s.server.retries.spend() {
+		if movable && s.canRerun(r, result) && s.server.retries.tryWithdraw() {
 			s.prepareRerun(r, result, attempt)
 			exclude = server
 			continue
 		}
 		if result.err != nil {
-			return s.failLost(r, result)
+			return s.failLostConnection(r, result)
 		}
-		return s.finish(r, result)
+		return s.finishRequest(r, result)
 	}
 }
 
-// prepareRerun puts the session into the state before the request, and waits.
-func (s *session) prepareRerun(r *request, result answer, attempt int) {
+// prepareRerun restores the session to its state before the request and waits for
+// the retry delay.
+func (s *session) prepareRerun(r *request, result relayResult, attempt int) {
 	s.server.record(Event{Group: s.group, Name: EventRetry, Server: s.lease.Server(), Workspace: s.workspace})
-	s.release(result.err == nil && s.leaveBlock())
+	s.release(result.err == nil && s.rollbackBlock())
 	s.writer.Reset(&s.output)
-	if result.code == codeReadOnly {
+	if result.code == sqlstateReadOnly {
 		r.access = AccessWrite
 	}
 	ctx, done := s.waitContext()
 	defer done()
-	timer := time.NewTimer(core.RetryDelay(attempt, s.server.config.Jitter()))
+	timer := time.NewTimer(sessionpkg.RetryDelay(attempt, s.server.config.Jitter()))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -199,28 +219,29 @@
 	}
 }
 
-// leaveBlock ends the transaction block in which a request was refused. It
-// reports whether the connection can be used again.
-func (s *session) leaveBlock() bool {
-	return s.begin == "" || s.lease.Conn().Exec("ROLLBACK") == nil
+// rollbackBlock rolls back the transaction block in which the request was refused.
+// It reports whether the connection can be reused.
+func (s *session) rollbackBlock() bool {
+	return s.replayableBegin == "" || s.lease.Conn().Exec("ROLLBACK") == nil
 }
 
-// failAcquire refuses a request that got no connection. A transaction block
-// that was to move to another server stays failed until the caller ends it.
+// failAcquire reports that a request got no connection. If its transaction block
+// was to move to another server, the transaction is failed until the caller ends
+// it.
 func (s *session) failAcquire(r *request, err error) error {
-	s.dropChanges()
-	if s.begin == "" {
-		return s.fail(r, err, s.tx)
+	s.discardChanges()
+	if s.replayableBegin == "" {
+		return s.failRequest(r, err, s.txStatus)
 	}
-	s.begin = ""
-	s.lost = true
-	return s.fail(r, err, backend.TxFailed)
+	s.replayableBegin = ""
+	s.transactionLost = true
+	return s.failRequest(r, err, backend.TxFailed)
 }
 
-// admit checks the session's key and the workspace's rate. A transaction is
-// one request, so its statements after the first aren't checked again.
+// admit checks the session's key and the workspace's request rate. A transaction
+// counts as one request, so only its first statement is checked.
 func (s *session) admit(*request) error {
-	if s.tx != backend.TxIdle || s.flushOpen() {
+	if s.txStatus != backend.TxIdle || s.awaitingSync() {
 		return nil
 	}
 	config := &s.server.config
@@ -238,7 +259,8 @@
 	return nil
 }
 
-// ensureLease gets a connection with the session's state, if it has none.
+// ensureLease acquires a connection and sets up the session's state on it, unless
+// the session already holds one.
 func (s *session) ensureLease(r *request, exclude fleet.ServerID) error {
 	if s.lease != nil {
 		return nil
@@ -266,18 +288,18 @@
 	}
 	s.setLease(lease)
 	conn := lease.Conn()
-	if err := conn.Adopt(s.id, s.profile); err != nil {
+	if err := conn.Adopt(s.id, s.settingsSQL); err != nil {
 		s.release(conn.Reusable())
 		return adoptError(err)
 	}
-	if s.begin != "" {
-		if err := conn.Exec(s.begin); err != nil {
+	if s.replayableBegin != "" {
+		if err := conn.Exec(s.replayableBegin); err != nil {
 			s.release(conn.Reusable())
 			return lostError("the transaction could not be moved to another server")
 		}
 	}
-	if conn.Prepared() > maxPrepared {
-		if err := s.closePrepared(conn); err != nil {
+	if conn.Prepared() > maxPreparedPerConn {
+		if err := s.deallocateAll(conn); err != nil {
 			s.release(false)
 			return adoptError(err)
 		}
@@ -285,110 +307,113 @@
 	return nil
 }
 
-// ensureToken gets a position before the first read of a session that brought
-// no token and wrote nothing, and before the first read after one that only the
-// primary could run. A primary reports no position after a read; that of a barrier covers
-// what the read saw.
+// ensureToken gets a position from the read barrier in two cases: before the first
+// read of a session that has no token, and before the first read on a replica after
+// a read that had to run on the primary. A primary reports no position for a read;
+// the position of the barrier covers what the read saw.
 func (s *session) ensureToken(r *request) error {
 	config := &s.server.config
-	isCovered := s.hasToken && s.readAt.IsZero()
+	isCovered := s.hasToken && s.primaryReadAt.IsZero()
 	if isCovered || r.access == AccessWrite || r.maxAge > 0 || config.Barrier == nil {
 		return nil
 	}
-	since := s.arrivedAt
-	if s.readAt.After(since) {
-		since = s.readAt
+	since := s.startedAt
+	if s.primaryReadAt.After(since) {
+		since = s.primaryReadAt
 	}
 	position, err := config.Barrier.Barrier(s.ctx, s.group, since)
 	if err != nil {
 		return acquireError(err)
 	}
-	s.token, _ = s.token.moveSeen(position)
+	s.token, _ = s.token.advanceSeen(position)
 	s.token.Group = s.group
 	s.hasToken = true
-	s.readAt = time.Time{}
+	s.primaryReadAt = time.Time{}
 	return nil
 }
 
-// mayRerun reports whether a request can be run again on another server.
-func (s *session) mayRerun(r *request, result answer) bool {
+// canRerun reports whether the request may be rerun on another server.
+func (s *session) canRerun(r *request, result relayResult) bool {
 	config := &s.server.config
-	if !r.mayFollowRefusal() || s.stoppedNow() {
+	if !r.canRerunAfterRefusal() || s.isStopping() {
 		return false
 	}
-	return core.Attempt{
+	return sessionpkg.Attempt{
 		Deadline:           r.arrivedAt.Add(s.requestTimeout(r)),
 		PartiallyDelivered: s.writer.Flushed(),
 		Lost:               result.err != nil,
-		Refused:            result.rerun,
+		Refused:            result.refused,
 		Idempotent:         r.idempotent || !s.lease.Primary(),
 	}.MayRetry(config.Now())
 }
 
-// finish settles a request that the server answered to the end.
-func (s *session) finish(r *request, result answer) error {
+// finishRequest completes a request to which the server sent its full response.
+func (s *session) finishRequest(r *request, result relayResult) error {
 	conn := s.lease.Conn()
-	position, moved := conn.Moved()
+	position, reported := conn.Moved()
 	primary := s.lease.Primary()
-	if !r.synced {
+	if !r.endsWithSync {
 		return s.finishFlush()
 	}
-	if result.rerun {
-		result.failure.Detail = detail(OutcomeNotRun)
-		_ = s.writer.Message(result.failure)
+	if result.refused {
+		result.serverError.Detail = outcomeDetail(OutcomeNotRun)
+		_ = s.writer.Message(result.serverError)
 	}
-	s.tx = conn.TxStatus()
-	s.noteBegin(r)
-	s.settle(r, result, conn)
-	if s.tx != backend.TxIdle {
-		return s.ready(true)
+	s.txStatus = conn.TxStatus()
+	s.trackBegin(r)
+	s.applyChanges(r, result, conn)
+	if s.txStatus != backend.TxIdle {
+		return s.sendReady(true)
 	}
 	if !s.pinned {
 		s.release(conn.Reusable())
 	}
-	if !moved {
-		// A read that only fell back to the primary is left out. While replicas
-		// lag it would keep the session's later reads on the primary too.
+	if !reported {
+		// Reads that the router sent to the primary for lack of a suitable replica
+		// don't count. While replicas lag, they would keep the session's later
+		// reads on the primary too.
 		if primary && r.access == AccessWrite {
-			s.readAt = s.server.config.Now()
+			s.primaryReadAt = s.server.config.Now()
 		}
-		return s.ready(true)
+		return s.sendReady(true)
 	}
 	if !primary {
-		s.tellToken(s.token.moveSeen(position))
-		return s.ready(true)
+		s.updateToken(s.token.advanceSeen(position))
+		return s.sendReady(true)
 	}
-	return s.acknowledge(position, result)
+	return s.acknowledgeWrite(position, result)
 }
 
-// noteBegin takes note of a transaction block in which nothing ran yet. Such a
-// block can move to another server.
-func (s *session) noteBegin(r *request) {
+// trackBegin records the BEGIN of a transaction block in which nothing else ran
+// yet. Such a block can move to another server.
+func (s *session) trackBegin(r *request) {
 	switch {
-	case r.simple && r.begins == 1 && r.statements == 1 && s.tx == backend.TxOpen:
-		s.begin = r.sql
-	case r.statements > 0 || s.tx != backend.TxOpen:
-		s.begin = ""
+	case r.simpleQuery && r.begins == 1 && r.statements == 1 && s.txStatus == backend.TxOpen:
+		s.replayableBegin = r.sql
+	case r.statements > 0 || s.txStatus != backend.TxOpen:
+		s.replayableBegin = ""
 	}
 }
 
-// finishFlush ends the answer to a Flush. What is held acknowledges nothing
-// before Sync, except for a COMMIT, which stays held.
+// finishFlush completes the response to a Flush. Held messages are sent, because
+// nothing they acknowledge is committed before the Sync. After a COMMIT they stay
+// held.
 func (s *session) finishFlush() error {
-	if !s.commitTag {
-		_ = s.writer.Raw(s.held)
-		s.held = s.held[:0]
+	if !s.holdingCommit {
+		_ = s.writer.Raw(s.heldMessages)
+		s.heldMessages = s.heldMessages[:0]
 	}
 	return s.writer.Flush()
 }
 
-// acknowledge passes on the held answer of a write once its commit is durable.
-func (s *session) acknowledge(position fleet.Position, result answer) error {
+// acknowledgeWrite waits until the commit of a write is durable and then sends the
+// held messages.
+func (s *session) acknowledgeWrite(position fleet.Position, result relayResult) error {
 	outcome, err := s.server.config.CommitWaiter.AwaitCommit(s.ctx, s.group, position)
 	switch {
 	case err == nil && outcome == OutcomeCommitted:
-		s.tellToken(s.token.moveWritten(position))
-		return s.ready(true)
+		s.updateToken(s.token.advanceWritten(position))
+		return s.sendReady(true)
 	case err == nil && outcome == OutcomeNotRun:
 		s.server.record(workspaceEvent(EventCommitNotRun, s.workspace, s.group, ""))
 		err = &Error{Op: "commit", Kind: KindBackendLost, Err: errors.New("the commit was lost in a change of primary")}
@@ -397,29 +422,29 @@
 		err = unknownError("it isn't known whether the commit is durable")
 	}
 	if result.code == "" {
-		_ = s.writer.Message(response(err, "ERROR"))
+		_ = s.writer.Message(errorResponse(err, "ERROR"))
 	}
-	return s.ready(false)
+	return s.sendReady(false)
 }
 
-// ready ends an answer with ReadyForQuery, after the held messages if wanted.
-func (s *session) ready(withHeld bool) error {
+// sendReady sends ReadyForQuery, preceded by the held messages if withHeld is set.
+func (s *session) sendReady(withHeld bool) error {
 	if withHeld {
-		_ = s.writer.Raw(s.held)
+		_ = s.writer.Raw(s.heldMessages)
 	}
-	s.held = s.held[:0]
-	s.commitTag = false
+	s.heldMessages = s.heldMessages[:0]
+	s.holdingCommit = false
 	var raw [headerSize + 1]byte
-	copy(raw[:], []byte{'Z', 0, 0, 0, 5, s.tx})
+	copy(raw[:], []byte{'Z', 0, 0, 0, 5, s.txStatus})
 	if err := s.writer.Raw(raw[:]); err != nil {
 		return err
 	}
 	return s.writer.Flush()
 }
 
-// tellToken takes a token that moved and tells the caller.
-func (s *session) tellToken(token Token, moved bool) {
-	if !moved {
+// updateToken stores the token and sends it to the caller, if it advanced.
+func (s *session) updateToken(token Token, advanced bool) {
+	if !advanced {
 		return
 	}
 	token.Group = s.group
@@ -427,53 +452,56 @@
 	_ = s.writer.Message(&pgproto3.ParameterStatus{Name: TokenParameter, Value: token.String()})
 }
 
-// fail answers a request with an error of the proxy.
-func (s *session) fail(r *request, err error, tx byte) error {
-	s.held = s.held[:0]
-	s.commitTag = false
-	s.tx = tx
-	_ = s.writer.Message(response(err, "ERROR"))
-	if r.synced {
-		return s.ready(false)
-	}
-	s.skipping = true
+// failRequest answers a request with an error of the proxy and sets the transaction
+// status.
+func (s *session) failRequest(r *request, err error, txStatus byte) error {
+	s.heldMessages = s.heldMessages[:0]
+	s.holdingCommit = false
+	s.txStatus = txStatus
+	_ = s.writer.Message(errorResponse(err, "ERROR"))
+	if r.endsWithSync {
+		return s.sendReady(false)
+	}
+	s.skippingToSync = true
 	return s.writer.Flush()
 }
 
-// failLost answers a request whose backend connection failed.
-func (s *session) failLost(r *request, result answer) error {
-	inTransaction := s.tx != backend.TxIdle
-	outcome := core.LostRequest{Commits: r.commits, InTransaction: inTransaction, Writes: s.lease.Primary()}.Outcome()
+// failLostConnection answers a request whose backend connection failed.
+func (s *session) failLostConnection(r *request, result relayResult) error {
+	inTransaction := s.txStatus != backend.TxIdle
+	outcome := sessionpkg.LostRequest{Commits: r.commits, InTransaction: inTransaction, Writes: s.lease.Primary()}.Outcome()
 	pinned := s.pinned
-	s.begin = ""
+	s.replayableBegin = ""
 	s.release(false)
-	s.dropChanges()
+	s.discardChanges()
 	switch {
 	case pinned && r.commits, pinned && !inTransaction:
-		// Locks or temporary tables went with the connection, so the session
-		// can't go on as if it still had them.
+		// Session state such as locks and temporary tables was lost with the
+		// connection, so the session must end.
 		return unknownError("the backend server was lost, and with it the state of the session")
 	case pinned:
 		return lostError("the backend server was lost, and with it the state of the session")
 	case inTransaction && outcome == OutcomeNotRun && !r.commits:
-		// The server rolls back. The transaction stays failed until the caller
-		// ends it, so that its later statements don't run on their own.
-		s.lost = true
-		return s.fail(r, lostError("the backend server was lost; the transaction is rolled back"), backend.TxFailed)
+		// The server rolls the transaction back. The session's transaction counts
+		// as failed until the caller ends it, so that later statements don't run
+		// outside it.
+		s.transactionLost = true
+		return s.failRequest(r, lostError("the backend server was lost; the transaction is rolled back"), backend.TxFailed)
 	case outcome == OutcomeNotRun:
-		return s.fail(r, lostError("the backend server was lost"), backend.TxIdle)
+		return s.failRequest(r, lostError("the backend server was lost"), backend.TxIdle)
 	}
-	return s.fail(r, unknownError("the backend server was lost before it answered"), backend.TxIdle)
+	return s.failRequest(r, unknownError("the backend server was lost before it answered"), backend.TxIdle)
 }
 
+// acquireError translates an error of the router into an *Error.
 func acquireError(err error) error {
-	var known *Error
-	if errors.As(err, &known) {
+	var proxyErr *Error
+	if errors.As(err, &proxyErr) {
 		return err
 	}
-	var failed *backend.Error
-	if errors.As(err, &failed) {
-		switch failed.Kind {
+	var backendErr *backend.Error
+	if errors.As(err, &backendErr) {
+		switch backendErr.Kind {
 		case backend.KindDeadline:
 			return &Error{Op: "acquire", Kind: KindCapacity, Err: errors.New("no backend connection became free before the deadline")}
 		case backend.KindQueueFull:
@@ -483,19 +511,22 @@
 	return lostError("no backend server can take the request")
 }
 
-// adoptError reports that the session's state couldn't be set on a connection.
+// adoptError translates an error of setting up the session's state on a connection.
 func adoptError(err error) error {
-	var failed *backend.Error
-	if errors.As(err, &failed) && failed.Kind == backend.KindServer {
-		return &Error{Op: "acquire", Kind: KindInvalidParameter, Err: errors.New("the session's settings can't be set: " + failed.Err.Error())}
+	var backendErr *backend.Error
+	if errors.As(err, &backendErr) && backendErr.Kind == backend.KindServer {
+		return &Error{Op: "acquire", Kind: KindInvalidParameter, Err: errors.New("the session's settings can't be set: " + backendErr.Err.Error())}
 	}
 	return lostError("the backend server was lost")
 }
 
+// lostError returns an error for a lost backend connection, after which the request
+// certainly didn't take effect.
 func lostError(text string) error {
 	return &Error{Op: "relay", Kind: KindBackendLost, Err: errors.New(text)}
 }
 
+// unknownError returns an error for a write that may or may not have taken effect.
 func unknownError(text string) error {
 	return &Error{Op: "relay", Kind: KindUnknownOutcome, Outcome: OutcomeUnknown, Err: errors.New(text)}
 }
--- a/caller/retrybudget.go
+++ b/caller/retrybudget.go
@@ -2,32 +2,34 @@
 
 import "sync"
 
-// Retry budget: each request earns a tenth of a retry. The balance starts at
-// its bound, so that a failover right after the start isn't penalised.
+// Retry budget: each request adds a tenth of a retry to the balance. The balance
+// starts at its maximum, so that reruns are possible in a failover right after the
+// start.
 const (
-	retryBound = 100.0
-	retryShare = 0.1
+	maxRetryBalance   = 100.0
+	retriesPerRequest = 0.1
 )
 
-// retryBudget bounds reruns to a share of the requests.
+// retryBudget limits reruns to a fraction of the requests.
 type retryBudget struct {
 	balance float64
 	mu      sync.Mutex
 }
 
 func newRetryBudget() *retryBudget {
-	return &retryBudget{balance: retryBound}
+	return &retryBudget{balance: maxRetryBalance}
 }
 
-// earn counts one request.
-func (b *retryBudget) earn() {
+// deposit adds the share of one request.
+func (b *retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.balance = min(retryBound, b.balance+retryShare)
+	b.balance = min(maxRetryBalance, b.balance+retriesPerRequest)
 }
 
-// spend takes one retry, if the budget allows it.
-func (b *retryBudget) spend() bool {
+// tryWithdraw takes one retry from the balance. It reports false if the balance is
+// too low.
+func (b *retryBudget) tryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.balance < 1 {
--- a/caller/router.go
+++ b/caller/router.go
@@ -8,76 +8,83 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Access says what a request does with data.
+// Access says whether a request reads or writes.
 type Access string
 
-// Accesses of a request.
+// Kinds of access.
 const (
-	// AccessRead only reads, so a replica may serve it.
+	// AccessRead means that the request only reads, so a replica can serve it.
 	AccessRead Access = "Read"
-	// AccessWrite may write, so the primary must serve it.
+	// AccessWrite means that the request may write or needs the primary for another
+	// reason.
 	AccessWrite Access = "Write"
 )
 
-// Request asks for a connection on which to run one request or transaction.
+// Request describes the connection that is needed to run one request or
+// transaction.
 type Request struct {
-	// Access says whether a replica may serve the request.
+	// Access says whether a replica can serve the request.
 	Access Access
-	// ArrivedAt is when the request arrived from the caller.
+	// ArrivedAt is when the proxy received the request.
 	ArrivedAt time.Time
-	// Deadline is when the request must have got a connection.
+	// Deadline is when the wait for a connection ends.
 	Deadline time.Time
-	// Exclude is a server that just refused or lost the request, or empty.
+	// Exclude is the server that refused the request or lost its connection in the
+	// previous attempt, or empty.
 	Exclude fleet.ServerID
-	// Database is the database that the caller connected to; empty means Group.
+	// Database is the database that the caller connected to. Empty means the
+	// database named like Group.
 	Database fleet.GroupID
-	// Group serves the database.
+	// Group is the group that serves the database.
 	Group fleet.GroupID
-	// MaxAge is the age of data that the read accepts. Zero means none.
+	// MaxAge is the maximum age of the data that a read returns. Zero means no limit.
 	MaxAge time.Duration
-	// Priority orders the waiting requests of the workspace; zero goes first.
+	// Priority orders the queued requests of the workspace; zero goes first.
 	Priority int
-	// Token is the position that a replica must cover.
+	// Token holds the log positions that a replica must have applied.
 	Token Token
 	// Workspace is the workspace of the caller.
 	Workspace fleet.WorkspaceID
 }
 
-// Lease is the use of one backend connection.
+// Lease is the exclusive use of one backend connection.
 type Lease interface {
-	// Conn returns the connection.
+	// Conn returns the leased connection.
 	Conn() *backend.Conn
-	// Primary reports whether the server was chosen as primary of its group.
+	// Primary reports whether the server was the primary of its group when it was
+	// selected.
 	Primary() bool
-	// Release gives the connection back. An unhealthy connection isn't used again.
+	// Release returns the connection. It is not reused if it isn't healthy.
 	Release(healthy bool)
-	// Server returns the id of the server.
+	// Server returns the id of the backend server.
 	Server() fleet.ServerID
 }
 
-// Router chooses servers and hands out connections.
+// Router selects servers and leases connections to them.
 type Router interface {
-	// Acquire waits for a connection that fits the request. Errors of type
-	// *Error reach the caller with the SQLSTATE of their kind.
+	// Acquire waits for a connection that meets the request's needs. An error of
+	// type *Error is sent to the caller with the SQLSTATE of its kind.
 	Acquire(ctx context.Context, request Request) (Lease, error)
 }
 
-// Barrier finds positions for sessions that bring no token.
+// Barrier provides read barriers, for sessions that don't have a token yet.
 type Barrier interface {
-	// Barrier returns a position of the group that covers each write that was
+	// Barrier returns a log position of the group that covers all writes
 	// acknowledged before arrivedAt.
 	Barrier(ctx context.Context, group fleet.GroupID, arrivedAt time.Time) (fleet.Position, error)
 }
 
-// CommitWaiter finds out whether a commit is durable.
+// CommitWaiter waits until commits are durable.
 type CommitWaiter interface {
-	// AwaitCommit waits until the outcome of a commit at the position is
-	// Committed or NotRun, or returns Unknown at its bound.
+	// AwaitCommit waits until it is certain whether the commit at the position is
+	// durable, and returns OutcomeCommitted or OutcomeNotRun. If that takes too
+	// long, it returns OutcomeUnknown.
 	AwaitCommit(ctx context.Context, group fleet.GroupID, position fleet.Position) (Outcome, error)
 }
 
-// CancelForwarder passes cancel requests to other instances.
+// CancelForwarder forwards cancel requests to other instances.
 type CancelForwarder interface {
-	// ForwardCancel passes on a cancel request for a session that isn't here.
+	// ForwardCancel forwards a cancel request for a session that this instance
+	// doesn't serve.
 	ForwardCancel(ctx context.Context, processID uint32, secret []byte) error
 }
--- a/caller/routes.go
+++ b/caller/routes.go
@@ -9,18 +9,19 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// cancelBound bounds the sending of a cancel request to a server.
-const cancelBound = time.Second
+// cancelTimeout limits the time to send a cancel request to a backend server.
+const cancelTimeout = time.Second
 
-// Routes knows the routes of the sheet in force.
+// Routes looks up the routes of the current sheet, the published configuration of
+// workspaces and databases.
 type Routes interface {
-	// Route returns the route of a database, and whether there is one.
+	// Route returns the route of a database, and false if it has none.
 	Route(database fleet.GroupID) (sheet.Route, bool)
 }
 
-// route returns the route of the session's database now, without one that of
-// the group of the same name. A change of the sheet applies from the next
-// request outside a transaction on.
+// route returns the current route of the session's database. Without a route, the
+// group of the same name serves the database. A new sheet applies from the next
+// request on, but not within a transaction.
 func (s *session) route() sheet.Route {
 	if s.server.config.Routes != nil {
 		if route, known := s.server.config.Routes.Route(s.database); known {
@@ -31,18 +32,18 @@
 	return sheet.Route{Group: s.database}
 }
 
-// followRoute moves the session to the group that serves its database now.
-// Positions in the log of another group mean nothing there.
-func (s *session) followRoute(route sheet.Route) {
+// updateGroup switches the session to the group that now serves its database. It
+// drops the token, because log positions of another group have no meaning there.
+func (s *session) updateGroup(route sheet.Route) {
 	if s.lease != nil || route.Group == s.group {
 		return
 	}
 	s.group = route.Group
 	s.token, s.hasToken = Token{}, false
-	s.arrivedAt = s.server.config.Now()
+	s.startedAt = s.server.config.Now()
 }
 
-// readAccess is the access that the reads of a route need.
+// readAccess returns the access that reads of a route need.
 func readAccess(route sheet.Route) Access {
 	if route.Consistency == sheet.ConsistencyPrimary {
 		return AccessWrite
@@ -50,7 +51,7 @@
 	return AccessRead
 }
 
-// requestTimeout bounds the wait of a request for a connection.
+// requestTimeout returns how long a request may wait for a connection.
 func (s *session) requestTimeout(r *request) time.Duration {
 	timeout := s.server.config.RequestTimeout
 	if r.timeout > 0 {
@@ -59,33 +60,34 @@
 	return timeout
 }
 
-// limitStatement cancels the statement that runs now when its time is over. The
-// returned function ends the limit.
+// limitStatement cancels the running statement when the request's timeout expires.
+// The returned function stops the timer.
 func (s *session) limitStatement(r *request) (done func()) {
 	if r.timeout == 0 {
 		return func() {}
 	}
 	s.mu.Lock()
-	s.statement++
-	number := s.statement
+	s.statementSeq++
+	number := s.statementSeq
 	s.mu.Unlock()
 	timer := time.AfterFunc(r.arrivedAt.Add(r.timeout).Sub(s.server.config.Now()), func() { s.cancelStatement(number) })
 	return func() {
 		timer.Stop()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.statement++
+		s.statementSeq++
 	}
 }
 
-// cancelStatement cancels a statement that still runs.
+// cancelStatement cancels the statement with the given number, if it is still
+// running.
 func (s *session) cancelStatement(number uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.statement != number || s.lease == nil {
+	if s.statementSeq != number || s.lease == nil {
 		return
 	}
-	ctx, done := context.WithTimeout(context.Background(), cancelBound)
-	defer done()
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
+	defer cancel()
 	s.cancelRunning(ctx)
 }
--- a/caller/routes_test.go
+++ b/caller/routes_test.go
@@ -15,31 +15,30 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// fixedRoutes gives each database the same route.
+// fixedRoutes returns the same route for every database.
 type fixedRoutes struct{ route sheet.Route }
 
 func (r *fixedRoutes) Route(fleet.GroupID) (sheet.Route, bool) { return r.route, true }
 
-// TestReadRoutes guards against a read that a route sends to a replica
-// although it must miss no commit, and against a route that overrides what the
-// caller asks for.
+// TestReadRoutes guards against reads going to a replica although their route
+// requires the primary, and against a route overriding a hint of the caller.
 func TestReadRoutes(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		route sheet.Route
 		sql   string
-		want  seen
+		want  routed
 	}{
-		{name: "primary", route: sheet.Route{Consistency: sheet.ConsistencyPrimary}, sql: "select 1", want: seen{Access: caller.AccessWrite}},
-		{name: "bounded age", route: sheet.Route{Consistency: sheet.ConsistencyBoundedAge, MaxAge: 1500}, sql: "select 1", want: seen{Access: caller.AccessRead, MaxAge: 1500 * time.Millisecond}},
-		{name: "hint of the caller", route: sheet.Route{Consistency: sheet.ConsistencyBoundedAge, MaxAge: 1500}, sql: "/* nutmegpier: max_age=2s */ select 1", want: seen{Access: caller.AccessRead, MaxAge: 2 * time.Second}},
-		{name: "own writes", route: sheet.Route{Consistency: sheet.ConsistencyReadYourWrites}, sql: "select 1", want: seen{Access: caller.AccessRead}},
+		{name: "primary", route: sheet.Route{Consistency: sheet.ConsistencyPrimary}, sql: "select 1", want: routed{Access: caller.AccessWrite}},
+		{name: "bounded age", route: sheet.Route{Consistency: sheet.ConsistencyBoundedAge, MaxAge: 1500}, sql: "select 1", want: routed{Access: caller.AccessRead, MaxAge: 1500 * time.Millisecond}},
+		{name: "hint of the caller", route: sheet.Route{Consistency: sheet.ConsistencyBoundedAge, MaxAge: 1500}, sql: "/* nutmegpier: max_age=2s */ select 1", want: routed{Access: caller.AccessRead, MaxAge: 2 * time.Second}},
+		{name: "own writes", route: sheet.Route{Consistency: sheet.ConsistencyReadYourWrites}, sql: "select 1", want: routed{Access: caller.AccessRead}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			d := deploy(t, writes, oneRow("replica"), func(config *caller.Config) { config.Routes = &fixedRoutes{route: test.route} })
+			d := deploy(t, scriptedPrimary, oneRow("replica"), func(config *caller.Config) { config.Routes = &fixedRoutes{route: test.route} })
 			conn := d.connect(t, simpleMode)
 			mustExec(t, conn, test.sql)
-			got := d.router.seen()
+			got := d.router.routed()
 			if len(got) != 1 {
 				t.Fatalf("%d requests to the router, want 1", len(got))
 			}
@@ -51,7 +50,7 @@
 	}
 }
 
-// routesByName holds routes that a test changes.
+// routesByName is a set of routes that a test can change.
 type routesByName struct {
 	mu     sync.Mutex
 	routes map[fleet.GroupID]sheet.Route
@@ -70,14 +69,14 @@
 	r.routes = map[fleet.GroupID]sheet.Route{route.Database: route}
 }
 
-// TestRouteToGroup guards against a database that is served by the group of its
-// own name although its route names another, against a change that moves an
-// open transaction, and against a position of one group that is asked of
+// TestRouteToGroup guards against a database being served by the group of the same
+// name although its route names another group. It also guards against a change of
+// route moving an open transaction, and against using a position of one group with
 // another.
 func TestRouteToGroup(t *testing.T) {
 	routes := &routesByName{}
 	routes.set(sheet.Route{Database: "plant1", Group: "ledger-a", Priority: 2, StatementTimeout: 60_000})
-	d := deploy(t, writes, oneRow("replica"), func(config *caller.Config) { config.Routes = routes })
+	d := deploy(t, scriptedPrimary, oneRow("replica"), func(config *caller.Config) { config.Routes = routes })
 	conn := d.connect(t, simpleMode)
 	mustExec(t, conn, "insert into t values (1)")
 	mustExec(t, conn, "begin")
@@ -86,16 +85,16 @@
 	mustExec(t, conn, "insert into t values (3)")
 	mustExec(t, conn, "commit")
 	mustExec(t, conn, "select 1")
-	type placed struct {
+	type routing struct {
 		Database, Group fleet.GroupID
 		Priority        int
 		TokenGroup      fleet.GroupID
 	}
-	var got []placed
-	for _, request := range d.router.all() {
-		got = append(got, placed{request.Database, request.Group, request.Priority, request.Token.Group})
+	var got []routing
+	for _, request := range d.router.allRequests() {
+		got = append(got, routing{request.Database, request.Group, request.Priority, request.Token.Group})
 	}
-	want := []placed{
+	want := []routing{
 		{"plant1", "ledger-a", 2, ""},
 		{"plant1", "ledger-a", 2, "ledger-a"},
 		{"plant1", "ledger-b", 0, ""},
@@ -105,13 +104,13 @@
 	}
 }
 
-// TestStatementTimeout guards against a statement that runs on after the time of
-// its route.
+// TestStatementTimeout guards against statements that exceed the timeout of their
+// route without being cancelled.
 func TestStatementTimeout(t *testing.T) {
 	cancelled := make(chan struct{})
 	script := func(sql string) reply {
 		if sql != "slow" {
-			return writes(sql)
+			return scriptedPrimary(sql)
 		}
 		<-cancelled
 		return reply{code: "57014"}
@@ -126,9 +125,9 @@
 		close(cancelled)
 	}()
 	_, err := conn.Exec(context.Background(), "slow")
-	var failure *pgconn.PgError
-	if !errors.As(err, &failure) || failure.Code != "57014" {
-		t.Errorf("error %v, want that the statement was cancelled", err)
+	var pgErr *pgconn.PgError
+	if !errors.As(err, &pgErr) || pgErr.Code != "57014" {
+		t.Errorf("got error %v, want SQLSTATE 57014 for a cancelled statement", err)
 	}
 	routes.set(sheet.Route{Database: testGroup})
 	mustExec(t, conn, "insert into t values (1)")
--- a/caller/server.go
+++ b/caller/server.go
@@ -15,7 +15,7 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Defaults of a server.
+// Default values of Config.
 const (
 	defaultIdleTimeout        = time.Hour
 	defaultMaxMessage         = 64 << 20
@@ -23,102 +23,114 @@
 	defaultStartupTimeout     = 10 * time.Second
 	defaultStopBound          = 30 * time.Second
 	defaultTransactionTimeout = time.Minute
-	defaultWithdrawBound      = 3 * time.Second
+	defaultWithdrawalTimeout  = 3 * time.Second
 	defaultWriteTimeout       = 30 * time.Second
 )
 
-// Buffer sizes in bytes. The read buffer is held by idle sessions, the write
-// buffer is not.
+// Buffer sizes in bytes. Idle sessions keep their read buffer, but not the write
+// buffer.
 const (
 	readBufferSize  = 2 << 10
 	writeBufferSize = 16 << 10
 )
 
-// Config holds the dependencies and settings of a Server. All interfaces but
-// Barrier, CancelForwarder and Events are needed.
+// Config holds the dependencies and settings of a Server. All interfaces are
+// required, except for Barrier, CancelForwarder, EventRecorder and Routes.
 type Config struct {
-	// AllowCleartext accepts a key in cleartext over TLS.
+	// AllowCleartext makes the server request the key in cleartext on TLS
+	// connections, instead of SCRAM.
 	AllowCleartext bool
-	// Barrier finds positions for sessions without token. Nil means none.
+	// Barrier provides read barriers for sessions without a token. Nil means none.
 	Barrier Barrier
-	// CancelForwarder passes on cancel requests. Nil means none.
+	// CancelForwarder forwards cancel requests to other instances. Nil means that
+	// they aren't forwarded.
 	CancelForwarder CancelForwarder
-	// CommitWaiter finds out whether commits are durable.
+	// CommitWaiter waits until commits are durable.
 	CommitWaiter CommitWaiter
-	// Credentials knows the keys of workspaces.
+	// Credentials looks up the keys of workspaces.
 	Credentials Credentials
-	// EventRecorder records what happens. Nil means nothing is recorded.
+	// EventRecorder records events. Nil means that they aren't recorded.
 	EventRecorder EventRecorder
-	// AdmissionController admits requests.
+	// AdmissionController decides whether requests may run.
 	AdmissionController AdmissionController
-	// IdleTimeout closes a session that sends nothing. Zero means one hour.
+	// IdleTimeout closes sessions that send nothing for this long. Zero means one
+	// hour.
 	IdleTimeout time.Duration
-	// Jitter returns a random number in [0, 1) for waits before reruns. Nil
-	// means that of math/rand.
+	// Jitter returns a random number in [0, 1) that varies the retry delay. Nil
+	// means rand.Float64.
 	Jitter func() float64
-	// MaxMessage bounds one message, and all messages up to a Sync, in bytes.
-	// Zero means 64 MiB. COPY data is bounded by message only.
+	// MaxMessage limits the size in bytes of one message and of all messages up to
+	// a Sync. Zero means 64 MiB. For COPY data only the single message is limited.
+	// The prepared statements of a session are limited to the same size.
 	MaxMessage int
-	// MaxSessions bounds the connections, those that aren't authenticated yet
-	// included. One more is refused with 53300. Zero means no bound.
+	// MaxSessions limits the number of connections, including those that aren't
+	// authenticated yet. Further ones are refused with 53300. Zero means no limit.
 	MaxSessions int
-	// MockSecret makes the mock salts of unknown workspaces.
+	// MockSecret is the secret from which the mock salts of unknown workspaces are
+	// derived. Empty means a random one.
 	MockSecret []byte
-	// Now returns the time. Nil means time.Now.
+	// Now returns the current time. Nil means time.Now.
 	Now func() time.Time
-	// Parameters are reported to each caller at start-up.
+	// Parameters are reported to each caller at start-up. Nil means those that
+	// drivers expect.
 	Parameters []Parameter
-	// RequestTimeout bounds the wait for a connection, counted from a
-	// request's arrival. Zero means 5 s.
+	// RequestTimeout limits how long a request waits for a connection, from its
+	// arrival. Zero means 5 s.
 	RequestTimeout time.Duration
-	// Router hands out connections.
+	// Router selects servers and leases connections.
 	Router Router
-	// Routes knows the routes of the sheet. Nil means none.
+	// Routes looks up the routes of the current sheet. Nil means that there are
+	// none.
 	Routes Routes
-	// StartupTimeout bounds start-up and authentication. Zero means 10 s.
+	// StartupTimeout limits start-up and authentication. Zero means 10 s.
 	StartupTimeout time.Duration
-	// TLS returns the current TLS settings. Nil means no TLS.
+	// TLS returns the current TLS configuration. Nil means that TLS is refused.
 	TLS func() *tls.Config
-	// StopBound bounds a transaction at a planned stop. Zero means 30 s.
+	// StopBound limits how long a session may take to finish its transaction after
+	// it was asked to stop. Zero means 30 s.
 	StopBound time.Duration
-	// TransactionTimeout closes a session that sends nothing inside a
-	// transaction, because it holds a connection. Zero means 1 minute.
+	// TransactionTimeout closes sessions that send nothing inside a transaction for
+	// this long, because they hold a backend connection. Zero means one minute.
 	TransactionTimeout time.Duration
-	// WithdrawalTimeout bounds a transaction whose key was withdrawn. Zero means 3 s.
+	// WithdrawalTimeout limits how long a session may take to finish its
+	// transaction after its key was withdrawn. Zero means 3 s.
 	WithdrawalTimeout time.Duration
-	// WriteTimeout bounds each write to a caller. Zero means 30 s.
+	// WriteTimeout limits each write to a caller. Zero means 30 s.
 	WriteTimeout time.Duration
 }
 
-// Server serves PostgreSQL callers.
+// Server serves PostgreSQL connections of callers.
 type Server struct {
 	config   Config
 	draining bool
-	gone     chan struct{}
-	listener net.Listener
-	mu       sync.Mutex
-	nextID   uint64
-	open     int
-	retries  *retryBudget
-	sessions map[uint32]*session
-	writers  sync.Pool
+	// sessionRemoved is closed and replaced whenever a session ends.
+	sessionRemoved chan struct{}
+	listener       net.Listener
+	mu             sync.Mutex
+	nextID         uint64
+	// openConns is the number of connections, including those that aren't
+	// authenticated yet.
+	openConns  int
+	retries    *retryBudget
+	sessions   map[uint32]*session
+	writerPool sync.Pool
 }
 
-// New returns a server.
+// New returns a server with the given configuration.
 func New(config Config) *Server {
 	config = config.withDefaults()
 	s := &Server{
-		config:   config,
-		gone:     make(chan struct{}),
-		retries:  newRetryBudget(),
-		sessions: make(map[uint32]*session),
+		config:         config,
+		sessionRemoved: make(chan struct{}),
+		retries:        newRetryBudget(),
+		sessions:       make(map[uint32]*session),
 	}
-	s.writers.New = func() any { return backend.NewFrameWriter(nil, writeBufferSize) }
+	s.writerPool.New = func() any { return backend.NewFrameWriter(nil, writeBufferSize) }
 	return s
 }
 
-// Cancel cancels what the session with this process id runs. It reports
-// whether the session is served here and the secret is right.
+// Cancel cancels what the session with this process id is running. It reports false
+// if this instance doesn't serve the session or the secret is wrong.
 func (s *Server) Cancel(ctx context.Context, processID uint32, secret []byte) bool {
 	s.mu.Lock()
 	target := s.sessions[processID]
@@ -130,9 +142,10 @@
 	return true
 }
 
-// Drain stops the server gracefully. New connections get 57P03, idle sessions
-// are closed with 57P01, sessions in a transaction may finish until ctx ends.
-// It returns an error if sessions had to be cut off.
+// Drain stops the server gracefully. New connections are refused with 57P03 and
+// idle sessions closed with 57P01. The others may finish their transaction until
+// ctx ends or StopBound expires. Drain returns an error if ctx ended first and
+// sessions were aborted.
 func (s *Server) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.draining = true
@@ -147,11 +160,11 @@
 	return err
 }
 
-// Recheck asks for each session whether its key is still valid, and closes the
-// idle ones whose key isn't. The others are closed at the end of their
-// statement or transaction, at most WithdrawalTimeout later.
+// RecheckKeys checks whether the key of each session is still valid and stops the
+// sessions whose key isn't. Idle ones are closed at once, the others at the end of
+// their statement or transaction, after WithdrawalTimeout at the latest.
 func (s *Server) RecheckKeys() {
-	for _, session := range s.snapshot() {
+	for _, session := range s.listSessions() {
 		if !s.config.Credentials.KeyValid(session.workspace, session.key) {
 			s.record(Event{Group: session.group, Name: EventKeyWithdrawn, Workspace: session.workspace})
 			session.stop("the key was withdrawn", s.config.Now().Add(s.config.WithdrawalTimeout))
@@ -159,8 +172,8 @@
 	}
 }
 
-// Serve accepts connections until the listener is closed. It returns nil after
-// Drain.
+// Serve accepts connections until the listener is closed. After Drain it returns
+// nil.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	s.listener = listener
@@ -183,35 +196,37 @@
 // ServeConn serves one connection until it ends.
 func (s *Server) ServeConn(conn net.Conn) {
 	defer conn.Close()
-	if !s.enter() {
-		s.refuseFull(conn)
+	if !s.reserveConn() {
+		s.refuseOverLimit(conn)
 		return
 	}
-	defer s.leave()
+	defer s.releaseConn()
 	session, err := s.openSession(conn)
 	if err != nil {
 		linger(conn)
 		return
 	}
-	defer s.remove(session)
+	defer s.removeSession(session)
 	session.run()
 	linger(session.conn)
 }
 
-// Sessions returns the number of open sessions.
+// Sessions returns the number of authenticated sessions.
 func (s *Server) Sessions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.sessions)
 }
 
-// StopIdle closes the idle sessions with 57P01. It is used when the instance
-// may no longer serve; the others end when their transaction does.
+// StopIdle closes all idle sessions with 57P01, and the others when their
+// transaction ends or StopBound expires. It is used when the instance must stop
+// serving. New sessions are still accepted.
 func (s *Server) StopIdle(reason string) {
 	s.stopSessions(reason)
 }
 
-func (s *Server) add(session *session) error {
+// addSession assigns the session its id and its cancel key, and registers it.
+func (s *Server) addSession(session *session) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
@@ -227,40 +242,43 @@
 	return nil
 }
 
+// awaitSessions waits until all sessions have ended. When ctx ends, it aborts the
+// remaining ones and returns an error.
 func (s *Server) awaitSessions(ctx context.Context) error {
 	for {
 		s.mu.Lock()
-		left, gone := len(s.sessions), s.gone
+		remaining, sessionRemoved := len(s.sessions), s.sessionRemoved
 		s.mu.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			for _, session := range s.snapshot() {
+			for _, session := range s.listSessions() {
 				session.abort()
 			}
 			return &Error{Op: "drain", Kind: KindClosed, Err: ctx.Err()}
-		case <-gone:
+		case <-sessionRemoved:
 		}
 	}
 }
 
-// enter counts a connection. It reports false if there are too many.
-func (s *Server) enter() bool {
+// reserveConn counts a new connection. It reports false if there are already
+// MaxSessions connections.
+func (s *Server) reserveConn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.config.MaxSessions > 0 && s.open >= s.config.MaxSessions {
+	if s.config.MaxSessions > 0 && s.openConns >= s.config.MaxSessions {
 		return false
 	}
-	s.open++
+	s.openConns++
 	return true
 }
 
-func (s *Server) leave() {
+func (s *Server) releaseConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
+	s.openConns--
 }
 
 func (s *Server) isDraining() bool {
@@ -275,15 +293,15 @@
 	}
 }
 
-func (s *Server) remove(session *session) {
+func (s *Server) removeSession(session *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sessions, session.processID)
-	close(s.gone)
-	s.gone = make(chan struct{})
+	close(s.sessionRemoved)
+	s.sessionRemoved = make(chan struct{})
 }
 
-func (s *Server) snapshot() []*session {
+func (s *Server) listSessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sessions := make([]*session, 0, len(s.sessions))
@@ -293,8 +311,9 @@
 	return sessions
 }
 
+// stopSessions asks all sessions to stop, within StopBound.
 func (s *Server) stopSessions(reason string) {
-	for _, session := range s.snapshot() {
+	for _, session := range s.listSessions() {
 		session.stop(reason, s.config.Now().Add(s.config.StopBound))
 	}
 }
@@ -306,7 +325,7 @@
 	c.StartupTimeout = orDefault(c.StartupTimeout, defaultStartupTimeout)
 	c.StopBound = orDefault(c.StopBound, defaultStopBound)
 	c.TransactionTimeout = orDefault(c.TransactionTimeout, defaultTransactionTimeout)
-	c.WithdrawalTimeout = orDefault(c.WithdrawalTimeout, defaultWithdrawBound)
+	c.WithdrawalTimeout = orDefault(c.WithdrawalTimeout, defaultWithdrawalTimeout)
 	c.WriteTimeout = orDefault(c.WriteTimeout, defaultWriteTimeout)
 	if c.Jitter == nil {
 		c.Jitter = rand.Float64
@@ -323,7 +342,7 @@
 	return c
 }
 
-// defaultParameters are those that drivers expect of each server.
+// defaultParameters returns the parameters that drivers expect from every server.
 func defaultParameters() []Parameter {
 	return []Parameter{
 		{"client_encoding", "UTF8"},
@@ -349,7 +368,7 @@
 	return binary.BigEndian.Uint32(randomBytes(4))
 }
 
-// workspaceEvent returns an event of a session.
+// workspaceEvent returns an event of a session without a server.
 func workspaceEvent(name EventName, workspace fleet.WorkspaceID, group fleet.GroupID, text string) Event {
 	return Event{Group: group, Name: name, Text: text, Workspace: workspace}
 }
--- a/caller/server_test.go
+++ b/caller/server_test.go
@@ -14,8 +14,7 @@
 
 func extendedMode(*pgx.ConnConfig) {}
 
-// TestRelayRows guards against answers that are changed or cut short on the
-// way, in the simple and in the extended protocol.
+// TestRelayRows guards against changing or truncating rows in either protocol.
 func TestRelayRows(t *testing.T) {
 	for name, mode := range map[string]func(*pgx.ConnConfig){"Simple": simpleMode, "Extended": extendedMode} {
 		t.Run(name, func(t *testing.T) {
--- a/caller/session_test.go
+++ b/caller/session_test.go
@@ -19,8 +19,8 @@
 	"github.com/nutmegpier/nutmegpier/caller"
 )
 
-// TestAuthentication guards against a wrong key being accepted, a second valid
-// key being refused, and unknown workspaces being told apart.
+// TestAuthentication guards against accepting a wrong key, refusing a second valid
+// key, and a different error for unknown workspaces.
 func TestAuthentication(t *testing.T) {
 	d := deploy(t, oneRow("primary"), nil)
 	for _, tc := range []struct {
@@ -36,7 +36,7 @@
 			conn, err := d.tryConnect(func(config *pgx.ConnConfig) { config.User, config.Password = tc.user, tc.key })
 			var got [2]string
 			if err != nil {
-				got = failure(t, err)
+				got = errorFields(t, err)
 			} else {
 				_ = conn.Close(context.Background())
 			}
@@ -47,26 +47,26 @@
 	}
 }
 
-// awaitFatal reads from an idle connection until the server closes it, and
-// returns the SQLSTATE that it sent.
+// awaitFatal waits until the server closes an idle connection and returns the
+// SQLSTATE that it sent.
 func awaitFatal(t *testing.T, conn *pgx.Conn) string {
 	t.Helper()
 	var code string
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	err := conn.PgConn().WaitForNotification(ctx)
-	var known *pgconn.PgError
-	if errors.As(err, &known) {
-		code = known.Code
+	var pgErr *pgconn.PgError
+	if errors.As(err, &pgErr) {
+		code = pgErr.Code
 	}
 	return code
 }
 
-// TestWithdrawnKey guards against sessions that outlive their key: idle ones
-// end at once, those in a transaction when it ends.
+// TestWithdrawnKey guards against sessions that stay open after their key was
+// withdrawn. Idle ones must end at once, those in a transaction when it ends.
 func TestWithdrawnKey(t *testing.T) {
-	d := deploy(t, writes, nil)
-	idle, inTransaction, other := d.connect(t), d.connect(t), d.connect(t, func(config *pgx.ConnConfig) { config.Password = "old key" })
+	d := deploy(t, scriptedPrimary, nil)
+	idle, inTransaction, otherKey := d.connect(t), d.connect(t), d.connect(t, func(config *pgx.ConnConfig) { config.Password = "old key" })
 	mustExec(t, inTransaction, "begin")
 	d.policy.revoke("k2")
 	d.server.RecheckKeys()
@@ -78,13 +78,13 @@
 	if diff := cmp.Diff("57P01", awaitFatal(t, inTransaction)); diff != "" {
 		t.Errorf("session after its transaction (-want +got):\n%s", diff)
 	}
-	mustExec(t, other, "select 1")
+	mustExec(t, otherKey, "select 1")
 }
 
-// TestDrain guards against a shutdown that interrupts a transaction or lets
-// new sessions in.
+// TestDrain guards against a shutdown that interrupts a transaction or accepts new
+// sessions.
 func TestDrain(t *testing.T) {
-	d := deploy(t, writes, nil)
+	d := deploy(t, scriptedPrimary, nil)
 	idle, inTransaction := d.connect(t), d.connect(t)
 	mustExec(t, inTransaction, "begin")
 	drained := make(chan error, 1)
@@ -93,7 +93,7 @@
 		t.Errorf("idle session (-want +got):\n%s", diff)
 	}
 	_, err := d.tryConnect()
-	if diff := cmp.Diff([2]string{"57P03", "Outcome: NotRun"}, failure(t, err)); diff != "" {
+	if diff := cmp.Diff([2]string{"57P03", "Outcome: NotRun"}, errorFields(t, err)); diff != "" {
 		t.Errorf("new session (-want +got):\n%s", diff)
 	}
 	mustExec(t, inTransaction, "insert into t values (1)")
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestCancel guards against a cancel request that reaches another session's
-// statement: it carries the key of the backend connection in use, and that
-// connection isn't used again.
+// TestCancel guards against a cancel request reaching a statement of another
+// session. It must be sent for the backend connection in use, and that connection
+// must not be reused.
 func TestCancel(t *testing.T) {
 	started, cancelled := make(chan struct{}), make(chan struct{})
 	script := func(sql string) reply {
@@ -114,7 +114,7 @@
 			<-cancelled
 			return reply{code: "57014"}
 		}
-		return writes(sql)
+		return scriptedPrimary(sql)
 	}
 	d := deploy(t, script, nil)
 	conn := d.connect(t, simpleMode)
@@ -124,12 +124,12 @@
 			t.Error(err)
 		}
 		if diff := cmp.Diff(uint32(1), <-d.primary.cancels); diff != "" {
-			t.Errorf("cancelled process (-want +got):\n%s", diff)
+			t.Errorf("process id of the cancel request (-want +got):\n%s", diff)
 		}
 		close(cancelled)
 	}()
 	_, err := conn.Exec(context.Background(), "select slow")
-	if diff := cmp.Diff([2]string{"57014", "Outcome: Failed"}, failure(t, err)); diff != "" {
+	if diff := cmp.Diff([2]string{"57014", "Outcome: Failed"}, errorFields(t, err)); diff != "" {
 		t.Errorf("error (-want +got):\n%s", diff)
 	}
 	mustExec(t, conn, "select 1")
@@ -138,7 +138,7 @@
 	}
 }
 
-// forwarder notes the cancel requests for other instances.
+// forwarder reports the cancel requests that are forwarded to other instances.
 type forwarder struct {
 	forwarded chan uint32
 }
@@ -148,11 +148,11 @@
 	return nil
 }
 
-// TestCancelForwarded guards against cancel requests being lost that reach an
+// TestCancelForwarded guards against losing a cancel request that arrives at an
 // instance that doesn't serve the session.
 func TestCancelForwarded(t *testing.T) {
 	f := forwarder{forwarded: make(chan uint32, 1)}
-	d := deploy(t, writes, nil, func(config *caller.Config) { config.CancelForwarder = f })
+	d := deploy(t, scriptedPrimary, nil, func(config *caller.Config) { config.CancelForwarder = f })
 	conn, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
@@ -166,12 +166,12 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(uint32(77), <-f.forwarded); diff != "" {
-		t.Errorf("forwarded process (-want +got):\n%s", diff)
+		t.Errorf("process id of the forwarded cancel request (-want +got):\n%s", diff)
 	}
 }
 
-// TestHostileInput guards against input that hangs a session or is answered
-// with a wrong SQLSTATE.
+// TestHostileInput guards against start-up input that blocks a connection or gets a
+// wrong SQLSTATE.
 func TestHostileInput(t *testing.T) {
 	message := func(code uint32, rest string) []byte {
 		raw := binary.BigEndian.AppendUint32(nil, uint32(8+len(rest)))
@@ -179,10 +179,10 @@
 	}
 	const version3 = 3 << 16
 	for _, tc := range []struct {
-		name  string
-		input []byte
-		half  bool
-		want  string
+		name      string
+		input     []byte
+		halfClose bool
+		want      string
 	}{
 		{"BadLength", []byte{0, 0, 0, 1, 0, 0, 0, 0}, false, "08P01"},
 		{"BadOptions", message(version3, "user\x00u\x00options\x00-x\x00\x00"), false, "08P01"},
@@ -196,7 +196,7 @@
 		{"Unterminated", message(version3, "user\x00u"), false, "08P01"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			d := deploy(t, writes, nil, func(config *caller.Config) { config.StartupTimeout = 200 * time.Millisecond })
+			d := deploy(t, scriptedPrimary, nil, func(config *caller.Config) { config.StartupTimeout = 200 * time.Millisecond })
 			conn, err := net.Dial("tcp", d.address)
 			if err != nil {
 				t.Fatal(err)
@@ -205,7 +205,7 @@
 			if _, err := conn.Write(tc.input); err != nil {
 				t.Fatal(err)
 			}
-			if tc.half {
+			if tc.halfClose {
 				_ = conn.(*net.TCPConn).CloseWrite()
 			}
 			_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
@@ -217,7 +217,7 @@
 	}
 }
 
-// fatalCode returns the SQLSTATE of an encoded ErrorResponse.
+// fatalCode returns the SQLSTATE of an encoded ErrorResponse, or the empty string.
 func fatalCode(output []byte) string {
 	_, rest, found := bytes.Cut(output[min(5, len(output)):], []byte("\x00C"))
 	if !found {
@@ -227,21 +227,23 @@
 	return string(code)
 }
 
-// TestOversizedMessage guards against a message over the limit being buffered.
+// TestOversizedMessage guards against buffering a message that exceeds MaxMessage.
 func TestOversizedMessage(t *testing.T) {
-	d := deploy(t, writes, nil, func(config *caller.Config) { config.MaxMessage = 1000 })
+	d := deploy(t, scriptedPrimary, nil, func(config *caller.Config) { config.MaxMessage = 1000 })
 	conn := d.connect(t, simpleMode)
 	_, err := conn.Exec(context.Background(), "select '"+strings.Repeat("x", 2000)+"'")
-	if diff := cmp.Diff("08P01", failure(t, err)[0]); diff != "" {
+	if diff := cmp.Diff("08P01", errorFields(t, err)[0]); diff != "" {
 		t.Errorf("SQLSTATE (-want +got):\n%s", diff)
 	}
 }
 
-// TestBackendLostInsideRow guards against an error message that is taken for
-// the rest of a row, and against a row that is cut short.
+// TestBackendLostInsideRow guards against losing the backend server in the middle
+// of a row. A truncated row must not reach the caller, and an error message must
+// not be taken for the rest of a row: after part of a large row was sent, the
+// session ends without one.
 func TestBackendLostInsideRow(t *testing.T) {
 	for _, size := range []int{100, 100000} {
-		d := deploy(t, func(string) reply { return reply{partial: size} }, nil)
+		d := deploy(t, func(string) reply { return reply{partialRow: size} }, nil)
 		conn := d.connect(t, simpleMode)
 		rows, err := conn.Query(context.Background(), "select 1")
 		if err != nil {
@@ -250,18 +252,18 @@
 		if rows.Next() {
 			t.Errorf("size %d: got a row", size)
 		}
-		var known *pgconn.PgError
-		isAnswered := errors.As(rows.Err(), &known) && known.Code == "40003"
+		var pgErr *pgconn.PgError
+		isAnswered := errors.As(rows.Err(), &pgErr) && pgErr.Code == "40003"
 		if diff := cmp.Diff(size == 100, isAnswered); rows.Err() == nil || diff != "" {
 			t.Errorf("size %d: error %v (-want +got):\n%s", size, rows.Err(), diff)
 		}
 	}
 }
 
-// TestMalformedMessages guards against messages that crash a session or are
-// passed on to the backend server.
+// TestMalformedMessages guards against malformed messages crashing a session or
+// reaching the backend server.
 func TestMalformedMessages(t *testing.T) {
-	d := deploy(t, writes, nil)
+	d := deploy(t, scriptedPrimary, nil)
 	for name, input := range map[string]string{
 		"BindWithoutName": "B\x00\x00\x00\x05xS\x00\x00\x00\x04",
 		"CloseBadKind":    "C\x00\x00\x00\x06x\x00S\x00\x00\x00\x04",
@@ -292,10 +294,10 @@
 	}
 }
 
-// TestNewerProtocol guards against a caller of a newer minor version, or with
-// protocol options, taking the server to support them.
+// TestNewerProtocol guards against callers assuming that the server supports the
+// newer minor version or the protocol options that they request.
 func TestNewerProtocol(t *testing.T) {
-	d := deploy(t, writes, nil)
+	d := deploy(t, scriptedPrimary, nil)
 	conn, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
@@ -316,11 +318,11 @@
 	}
 }
 
-// TestStartupSettings guards against settings of the start-up that don't take
-// effect or that the caller isn't told of, and against its application name
-// reaching the backend server.
+// TestStartupSettings guards against start-up settings that aren't applied or
+// aren't reported to the caller, and against the caller's application name reaching
+// the backend server.
 func TestStartupSettings(t *testing.T) {
-	d := deploy(t, writes, nil)
+	d := deploy(t, scriptedPrimary, nil)
 	conn := d.connect(t, simpleMode, func(config *pgx.ConnConfig) {
 		config.RuntimeParams["TimeZone"] = "Europe/Madrid"
 		config.RuntimeParams["application_name"] = "secret name"
@@ -337,16 +339,16 @@
 	}
 }
 
-// TestDrainDeadline guards against a transaction that holds up a shutdown for
-// longer than its bound.
+// TestDrainDeadline guards against a transaction delaying a shutdown beyond the
+// deadline of Drain.
 func TestDrainDeadline(t *testing.T) {
-	d := deploy(t, writes, nil)
+	d := deploy(t, scriptedPrimary, nil)
 	conn := d.connect(t)
 	mustExec(t, conn, "begin")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := d.server.Drain(ctx); err == nil {
-		t.Error("Drain reports no error although a session was cut off")
+		t.Error("Drain returned no error although a session was aborted")
 	}
 	if diff := cmp.Diff("57P01", awaitFatal(t, conn)); diff != "" {
 		t.Errorf("session in a transaction (-want +got):\n%s", diff)
--- a/caller/setting.go
+++ b/caller/setting.go
@@ -7,30 +7,32 @@
 	"time"
 )
 
-// settingPrefix starts the names of the proxy's own settings.
-const settingPrefix = "nutmegpier."
+// proxySettingPrefix is the prefix of the settings that the proxy itself defines.
+const proxySettingPrefix = "nutmegpier."
 
-// maxAgeSetting is the setting for the age of data that reads accept.
+// maxAgeSetting is the setting for the maximum age of the data that reads return.
 const maxAgeSetting = "nutmegpier.max_age"
 
-// harmlessSQL replaces statements that the proxy acts on itself. The tag of
-// its answer is the same.
-const harmlessSQL = "SET application_name TO 'nutmegpier'"
+// noOpSQL is sent instead of statements that the proxy handles itself. The caller
+// gets its command tag, SET, also for a RESET or DEALLOCATE.
+const noOpSQL = "SET application_name TO 'nutmegpier'"
 
-// setting is one SET that is replayed on each connection of the session.
+// setting is a SET that is applied on each connection that the session uses.
 type setting struct {
-	name  string
-	text  string
+	name string
+	sql  string
+	// value is the value to report to the caller. It is only known for settings of
+	// the start-up message.
 	value string
 }
 
-// isRefusedSetting reports whether a setting would break the relay or the
-// separation of sessions.
+// isRefusedSetting reports whether a setting would break the classification of
+// statements or the isolation between sessions.
 func isRefusedSetting(name string) bool {
 	return name == "role" || name == "session_authorization" || name == "standard_conforming_strings"
 }
 
-// isSettingName reports whether a name can stand in a SET statement unquoted.
+// isSettingName reports whether the name can be used unquoted in a SET statement.
 func isSettingName(name string) bool {
 	for i := range len(name) {
 		if !isWordByte(name[i]) && name[i] != '.' || name[i] >= 0x80 {
@@ -40,22 +42,21 @@
 	return name != "" && isWordStart(name[0])
 }
 
-// isOwnSetting reports whether the proxy acts on the setting itself.
-func isOwnSetting(name string) bool {
-	return name == "application_name" || strings.HasPrefix(name, settingPrefix)
+// isProxySetting reports whether the proxy handles the setting itself.
+func isProxySetting(name string) bool {
+	return name == "application_name" || strings.HasPrefix(name, proxySettingPrefix)
 }
 
-// profileOf returns the SQL that puts the settings into effect.
-func profileOf(settings []setting) string {
-	texts := make([]string, 0, len(settings))
+// settingsToSQL returns the SQL text that applies the settings.
+func settingsToSQL(settings []setting) string {
+	statements := make([]string, 0, len(settings))
 	for _, setting := range settings {
-		texts = append(texts, setting.text)
+		statements = append(statements, setting.sql)
 	}
-	return strings.Join(texts, ";")
+	return strings.Join(statements, ";")
 }
 
-// withSetting returns the settings with one replaced or added. The input is
-// left as it is.
+// withSetting returns a copy of the settings with one replaced or added.
 func withSetting(settings []setting, added setting) []setting {
 	result := make([]setting, 0, len(settings)+1)
 	for _, setting := range settings {
@@ -66,11 +67,11 @@
 	return append(result, added)
 }
 
-// ownSetting takes one of the proxy's own settings into the session.
-func (s *session) ownSetting(name, value string) error {
+// applyProxySetting applies a setting that the proxy itself defines.
+func (s *session) applyProxySetting(name, value string) error {
 	switch name {
 	case TokenParameter:
-		return s.takeToken(value)
+		return s.setToken(value)
 	case maxAgeSetting:
 		age, err := time.ParseDuration(value)
 		if err != nil || age < 0 {
@@ -82,8 +83,8 @@
 	return &Error{Op: "set", Kind: KindInvalidParameter, Err: fmt.Errorf("unknown setting %s", name)}
 }
 
-// takeToken takes a session token that the caller handed over.
-func (s *session) takeToken(text string) error {
+// setToken sets the session token that the caller provided.
+func (s *session) setToken(text string) error {
 	token, err := ParseToken(text)
 	if err != nil {
 		return err
@@ -95,22 +96,22 @@
 	return nil
 }
 
-// applySettings takes the effect of a successful SET, RESET, DISCARD or
-// DEALLOCATE into the session.
+// applySettings applies a committed SET, RESET or DISCARD to the settings of the
+// session.
 func (s *session) applySettings(statement settingChange) {
 	switch statement.verb {
 	case VerbSet:
-		s.settings = withSetting(s.settings, setting{name: statement.name, text: statement.text})
+		s.settings = withSetting(s.settings, setting{name: statement.name, sql: statement.sql})
 	case VerbReset, VerbDiscard:
 		s.resetSettings(statement.name)
 	}
-	s.profile = profileOf(s.settings)
+	s.settingsSQL = settingsToSQL(s.settings)
 }
 
-// resetSettings puts one setting, or all, back to the value of the start-up.
+// resetSettings restores one setting, or all, to the value at start-up.
 func (s *session) resetSettings(name string) {
 	if name == "all" {
-		s.settings = s.initial
+		s.settings = s.startupSettings
 		return
 	}
 	var kept []setting
@@ -119,7 +120,7 @@
 			kept = append(kept, setting)
 		}
 	}
-	for _, setting := range s.initial {
+	for _, setting := range s.startupSettings {
 		if setting.name == name {
 			kept = append(kept, setting)
 		}
@@ -127,15 +128,17 @@
 	s.settings = kept
 }
 
-// settingChange is a SET, RESET, DISCARD or DEALLOCATE that takes effect when
-// its transaction commits.
+// settingChange is a recorded change of the session state: SET, RESET, DISCARD,
+// DEALLOCATE, ROLLBACK TO or pinning the connection. Changes of settings take
+// effect when the transaction commits.
 type settingChange struct {
 	name string
-	text string
+	sql  string
 	verb Verb
 }
 
-// changeOf copies what is kept of a statement, since its text is part of a buffer.
+// changeOf returns the change that a statement makes. Strings are cloned, because
+// those of the statement keep the whole SQL text in memory.
 func changeOf(statement *Statement) settingChange {
-	return settingChange{name: strings.Clone(statement.Name), text: strings.Clone(statement.Text), verb: statement.Verb}
+	return settingChange{name: strings.Clone(statement.Name), sql: strings.Clone(statement.Text), verb: statement.Verb}
 }
--- a/caller/standin_test.go
+++ b/caller/standin_test.go
@@ -17,7 +17,7 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-// poolRouter routes to the primary of a stand-in group through a Pool.
+// poolRouter routes all requests to one server through a backend.Pool.
 type poolRouter struct {
 	pool   *backend.Pool
 	server fleet.ServerID
@@ -40,7 +40,7 @@
 
 const testPassword = "the proxy's own"
 
-// deployStandin starts a server in front of a stand-in group.
+// deployStandin starts a server in front of a group of stand-in backend servers.
 func deployStandin(t testing.TB, limits backend.Limits) (*deployment, *backend.Pool, fleet.ServerID) {
 	t.Helper()
 	group, err := standin.NewGroup(standin.Options{Authentication: standin.AuthenticationSCRAM, ID: testGroup, Password: testPassword, User: "proxy"})
@@ -63,8 +63,8 @@
 	return d, pool, primary.ID()
 }
 
-// TestStandinSessions guards against answers that get mixed up, lost updates
-// and more connections than permits when many sessions share few connections.
+// TestStandinSessions guards against mixed-up responses, lost updates and too many
+// connections when many sessions share few connections.
 func TestStandinSessions(t *testing.T) {
 	limits := backend.Limits{Permits: 3, Slots: 2}
 	d, pool, server := deployStandin(t, limits)
@@ -81,7 +81,7 @@
 		conn := d.connect(t, mode)
 		running.Go(func() {
 			for j := range rounds {
-				if err := oneRound(conn, i*1000+j); err != nil {
+				if err := runRound(conn, i*1000+j); err != nil {
 					t.Error(err)
 					return
 				}
@@ -94,21 +94,21 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(sessions*rounds, got); diff != "" {
-		t.Errorf("updates (-want +got):\n%s", diff)
+		t.Errorf("counter after all updates (-want +got):\n%s", diff)
 	}
 	counts := pool.Counts(server)
 	if counts.Idle+counts.InUse > limits.Permits {
-		t.Errorf("%+v exceeds %+v", counts, limits)
+		t.Errorf("pool counts %+v exceed the limits %+v", counts, limits)
 	}
 }
 
-// oneRound echoes a number and increments the counter in a transaction.
-func oneRound(conn *pgx.Conn, number int) error {
+// runRound queries a number and increments the counter in a transaction.
+func runRound(conn *pgx.Conn, number int) error {
 	ctx := context.Background()
 	var echo string
 	want := strconv.Itoa(number)
 	if err := conn.QueryRow(ctx, "select $1::text", want).Scan(&echo); err != nil {
-		return fmt.Errorf("echo: %w", err)
+		return fmt.Errorf("echo query: %w", err)
 	}
 	if echo != want {
 		return fmt.Errorf("echo = %q, want %q", echo, want)
