--- a/caller/startup.go
+++ b/caller/startup.go
@@ -8,38 +8,39 @@
 	"strings"
 )
 
-// Request codes that take the place of a protocol version.
+// Request codes that replace the protocol version in the first message.
 const (
 	codeCancel     = 80877102
 	codeGSSEncrypt = 80877104
 	codeSSL        = 80877103
 )
 
-// protocolMajor is the major protocol version that callers must speak.
+// protocolMajor is the supported major protocol version.
 const protocolMajor = 3
 
-// maxStartupSize bounds a start-up message in bytes, as PostgreSQL does.
+// maxStartupSize limits the size of a start-up message in bytes, as in PostgreSQL.
 const maxStartupSize = 10000
 
-// Parameter is one start-up parameter or setting.
+// Parameter is a start-up parameter or setting.
 type Parameter struct {
 	Name  string
 	Value string
 }
 
-// Startup is the first message of a caller.
+// Startup is a decoded start-up message: a StartupMessage, CancelRequest,
+// SSLRequest or GSSENCRequest.
 type Startup struct {
-	// Code is the protocol version or a request code.
+	// Code is the protocol version or the request code.
 	Code uint32
-	// Parameters lists the parameters in the order they came.
+	// Parameters lists the start-up parameters in the order received.
 	Parameters []Parameter
-	// ProcessID is the session that a cancel request names.
+	// ProcessID identifies the session to cancel, in a CancelRequest.
 	ProcessID uint32
-	// Secret is the secret of a cancel request.
+	// Secret is the secret key of a CancelRequest.
 	Secret []byte
 }
 
-// ReadStartup reads one start-up message.
+// ReadStartup reads and parses one start-up message.
 func ReadStartup(r io.Reader) (Startup, error) {
 	var header [4]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -56,7 +57,7 @@
 	return ParseStartup(body)
 }
 
-// ParseStartup parses the body of a start-up message.
+// ParseStartup parses a start-up message without its length.
 func ParseStartup(body []byte) (Startup, error) {
 	if len(body) < 4 {
 		return Startup{}, startupError("message is too short")
@@ -82,7 +83,7 @@
 	return startup, err
 }
 
-// Get returns the value of a parameter, or the empty string.
+// Get returns the value of a parameter, or the empty string if it is absent.
 func (s Startup) Get(name string) string {
 	for _, parameter := range s.Parameters {
 		if parameter.Name == name {
@@ -92,8 +93,8 @@
 	return ""
 }
 
-// parseOptions splits the "options" parameter into the settings that it names
-// with -c name=value or --name=value. A backslash escapes the next character.
+// parseOptions parses the "options" parameter, which contains settings of the form
+// -c name=value or --name=value. A backslash escapes the next character.
 func parseOptions(text string) ([]Parameter, error) {
 	words := splitOptions(text)
 	var settings []Parameter
@@ -119,6 +120,7 @@
 	return settings, nil
 }
 
+// parseParameters parses null-terminated names and values up to an empty name.
 func parseParameters(text string) ([]Parameter, error) {
 	var parameters []Parameter
 	for {
@@ -138,6 +140,7 @@
 	}
 }
 
+// splitOptions splits text at whitespace that isn't escaped.
 func splitOptions(text string) []string {
 	var words []string
 	var word strings.Builder
--- a/caller/statement.go
+++ b/caller/statement.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Verb says what a statement does to the session or transaction.
+// Verb is the effect of a statement on the session or transaction.
 type Verb string
 
-// Verbs that the relay acts on. All other statements are VerbOther.
+// Verbs that the proxy handles specially. All other statements are VerbOther.
 const (
 	VerbBegin      Verb = "Begin"
 	VerbCommit     Verb = "Commit"
@@ -22,53 +22,58 @@
 	VerbSet        Verb = "Set"
 )
 
-// Hints are what comments of the form "nutmegpier: name, name=value" ask for.
+// Hints are the hints in SQL comments of the form "nutmegpier: name, name=value".
 type Hints struct {
-	// Idempotent allows a retry when the outcome isn't known.
+	// Idempotent allows a retry if the outcome is unknown.
 	Idempotent bool
-	// MaxAge is the age of data that a read accepts. Zero means none.
+	// MaxAge is the maximum age of the data that a read returns. Zero means no limit.
 	MaxAge time.Duration
-	// Primary sends a read to the primary.
+	// Primary sends reads to the primary.
 	Primary bool
 }
 
-// Statement is what the relay knows of one SQL statement.
+// Statement is the classification of one SQL statement.
 type Statement struct {
 	// Access says whether a replica can run the statement.
 	Access Access
-	// Name is the lower-case setting of Set and Reset ("all" for RESET ALL),
-	// the object of Discard, or the statement of Deallocate.
+	// Name is the setting of SET and RESET in lower case ("all" for RESET ALL), the
+	// argument of DISCARD, or the statement name of DEALLOCATE.
 	Name string
-	// Pins says that the statement leaves state on its connection.
+	// Pins says that the statement leaves state on its connection, so that the
+	// session must keep the connection.
 	Pins bool
-	// ReadOnly says that Begin starts a READ ONLY transaction.
+	// ReadOnly says that BEGIN starts a READ ONLY transaction.
 	ReadOnly bool
-	// Refused says why the statement can't run over a shared connection, or is empty.
+	// RefusalReason says why the statement can't run over a shared connection. It
+	// is empty if it can.
 	RefusalReason string
-	// Sequence says that the statement reads the sequence state of the session.
+	// ReadsSequenceState says that the statement calls currval or lastval, which
+	// depend on earlier statements of the session.
 	ReadsSequenceState bool
 	// Text is the statement without the semicolon.
 	Text string
-	// Touches says that the statement may change session state unseen.
+	// MayChangeSession says that the statement may change session state in a way
+	// that isn't visible in its text, for example through a function or DO block.
 	MayChangeSession bool
-	// Value is the text after "=" or "TO" of Set, without quotes.
+	// Value is the value of SET, without quotes.
 	Value string
-	// Verb says what the statement does to the session or transaction.
+	// Verb is the effect of the statement on the session or transaction.
 	Verb Verb
 }
 
-// Classification is what the relay knows of one SQL text.
+// Classification is the classification of an SQL text, which may contain several
+// statements.
 type Classification struct {
-	// First is the first statement. Its verb is Empty if there is none.
+	// First is the first statement. Its verb is VerbEmpty if there is none.
 	First Statement
-	// Hints are the hints of all comments.
+	// Hints are the combined hints of all comments.
 	Hints Hints
 	// Rest lists the statements after the first.
 	Rest []Statement
 }
 
-// Classify classifies an SQL text. It is conservative: what it can't recognise
-// as a read is a write.
+// Classify classifies an SQL text. It is conservative: a statement that isn't
+// recognised as a read counts as a write.
 func Classify(sql string) Classification {
 	z := tokenizer{sql: sql}
 	var c Classification
@@ -92,7 +97,8 @@
 	return c
 }
 
-// Access returns Write if any statement may write or a hint asks for the primary.
+// Access returns AccessWrite if any statement may write or a hint asks for the
+// primary.
 func (c *Classification) Access() Access {
 	if c.First.Access == AccessWrite || c.Hints.Primary {
 		return AccessWrite
@@ -105,7 +111,8 @@
 	return AccessRead
 }
 
-// ControlsTransaction reports whether a statement begins or ends a transaction.
+// ControlsTransaction reports whether a statement begins or ends a transaction or
+// rolls back to a savepoint.
 func (c *Classification) ControlsTransaction() bool {
 	for s := range c.statements {
 		switch s.Verb {
@@ -116,7 +123,8 @@
 	return false
 }
 
-// Refused returns why the text can't run, or the empty string.
+// RefusalReason returns why the SQL text can't run over a shared connection, or the
+// empty string.
 func (c *Classification) RefusalReason() string {
 	for s := range c.statements {
 		if s.RefusalReason != "" {
@@ -126,7 +134,7 @@
 	return ""
 }
 
-// statements yields each statement.
+// statements iterates over all statements.
 func (c *Classification) statements(yield func(*Statement) bool) {
 	if !yield(&c.First) {
 		return
@@ -138,8 +146,8 @@
 	}
 }
 
-// read takes the hints of one comment.
-func (h *Hints) read(comment string) {
+// parse parses the hints in one comment. Unknown and invalid hints are ignored.
+func (h *Hints) parse(comment string) {
 	list, found := strings.CutPrefix(strings.TrimSpace(comment), "nutmegpier:")
 	for found && list != "" {
 		var hint string
@@ -158,42 +166,44 @@
 	}
 }
 
-// statement reads up to the next semicolon and classifies what it read.
+// statement reads and classifies one statement, up to the semicolon.
 func (z *tokenizer) statement(first sqlToken) Statement {
 	s := Statement{Access: AccessWrite, Verb: VerbOther}
 	var end sqlToken
 	switch {
 	case first.is("begin"), first.is("start"):
-		end = z.beginStatement(&s)
+		end = z.classifyBegin(&s)
 	case first.is("commit"), first.is("end"):
-		end = z.endStatement(&s, VerbCommit)
+		end = z.classifyTransactionEnd(&s, VerbCommit)
 	case first.is("rollback"), first.is("abort"):
-		end = z.endStatement(&s, VerbRollback)
+		end = z.classifyTransactionEnd(&s, VerbRollback)
 	case first.is("set"):
-		end = z.setStatement(&s)
+		end = z.classifySet(&s)
 	case first.is("reset"):
-		end = z.nameStatement(&s, VerbReset)
+		end = z.classifyNamed(&s, VerbReset)
 	case first.is("discard"):
-		end = z.nameStatement(&s, VerbDiscard)
+		end = z.classifyNamed(&s, VerbDiscard)
 	case first.is("deallocate"):
-		end = z.deallocateStatement(&s)
+		end = z.classifyDeallocate(&s)
 	case first.is("select"), first.is("values"), first.is("table"), first.is("with"), first.is("show"):
 		s.Access = AccessRead
-		end = z.scan(&s, first)
+		end = z.scanRest(&s, first)
 	case first.kind == tokenPunct && first.text == "(":
 		s.Access = AccessRead
-		end = z.scan(&s, first)
+		end = z.scanRest(&s, first)
 		if !startsQuery(z.sql[first.start:]) {
 			s.Access = AccessWrite
 		}
 	default:
-		end = z.otherStatement(&s, first)
+		end = z.classifyOther(&s, first)
 	}
 	s.Text = z.sql[first.start:end.start]
 	return s
 }
 
-func (z *tokenizer) beginStatement(s *Statement) sqlToken {
+// classifyBegin classifies BEGIN and START TRANSACTION. The last READ ONLY or READ
+// WRITE determines the access.
+func (z *tokenizer) classifyBegin(s *Statement) sqlToken {
 	s.Verb = VerbBegin
 	var previous sqlToken
 	for {
@@ -212,7 +222,7 @@
 	}
 }
 
-func (z *tokenizer) deallocateStatement(s *Statement) sqlToken {
+func (z *tokenizer) classifyDeallocate(s *Statement) sqlToken {
 	s.Verb = VerbDeallocate
 	s.Access = AccessRead
 	t := z.next()
@@ -220,11 +230,13 @@
 		t = z.next()
 	}
 	s.Name = identifier(t)
-	return z.skipStatement(t)
+	return z.skipToEnd(t)
 }
 
-// endStatement reads COMMIT or ROLLBACK. The forms TO and PREPARED differ.
-func (z *tokenizer) endStatement(s *Statement, verb Verb) sqlToken {
+// classifyTransactionEnd classifies COMMIT and ROLLBACK, including ROLLBACK TO
+// SAVEPOINT. With PREPARED they act on a prepared transaction instead of the
+// current one.
+func (z *tokenizer) classifyTransactionEnd(s *Statement, verb Verb) sqlToken {
 	s.Verb = verb
 	for {
 		t := z.next()
@@ -239,7 +251,8 @@
 	}
 }
 
-func (z *tokenizer) nameStatement(s *Statement, verb Verb) sqlToken {
+// classifyNamed classifies RESET and DISCARD, which have a name as argument.
+func (z *tokenizer) classifyNamed(s *Statement, verb Verb) sqlToken {
 	s.Verb = verb
 	s.Access = AccessRead
 	t := z.next()
@@ -255,11 +268,11 @@
 		s.Name += "." + identifier(z.next())
 		t = z.next()
 	}
-	return z.skipStatement(t)
+	return z.skipToEnd(t)
 }
 
-// otherStatement classifies statements that go to the primary.
-func (z *tokenizer) otherStatement(s *Statement, first sqlToken) sqlToken {
+// classifyOther classifies statements that always go to the primary.
+func (z *tokenizer) classifyOther(s *Statement, first sqlToken) sqlToken {
 	switch {
 	case first.is("listen"):
 		s.RefusalReason = "LISTEN isn't supported over shared connections"
@@ -277,12 +290,12 @@
 			return t
 		}
 	}
-	return z.scan(s, first)
+	return z.scanRest(s, first)
 }
 
-// scan reads the rest of a statement and looks for words that make it a write
-// or leave state on the connection.
-func (z *tokenizer) scan(s *Statement, previous sqlToken) sqlToken {
+// scanRest reads the rest of a statement and looks for keywords and function calls
+// that write or leave state on the connection.
+func (z *tokenizer) scanRest(s *Statement, previous sqlToken) sqlToken {
 	isDeclare := previous.is("declare")
 	var beforePrevious sqlToken
 	for {
@@ -292,7 +305,7 @@
 		}
 		switch {
 		case t.kind == tokenPunct && t.text == "(" && isName(previous):
-			s.call(previous.text)
+			s.applyCall(previous.text)
 		case t.is("insert"), t.is("update"), t.is("delete"), t.is("merge"), t.is("into"):
 			s.Access = AccessWrite
 		case previous.is("into") && (t.is("temp") || t.is("temporary")):
@@ -306,8 +319,8 @@
 	}
 }
 
-// setStatement reads SET in its forms.
-func (z *tokenizer) setStatement(s *Statement) sqlToken {
+// classifySet classifies the forms of SET.
+func (z *tokenizer) classifySet(s *Statement) sqlToken {
 	s.Verb = VerbSet
 	s.Access = AccessRead
 	t := z.next()
@@ -315,25 +328,25 @@
 		t = z.next()
 		if t.is("characteristics") {
 			s.Name = "session characteristics"
-			return z.skipStatement(t)
+			return z.skipToEnd(t)
 		}
 	}
 	switch {
 	case t.is("local"), t.is("transaction"), t.is("constraints"):
 		s.Verb = VerbOther
-		return z.skipStatement(t)
+		return z.skipToEnd(t)
 	case t.is("role"), t.is("authorization"):
 		s.RefusalReason = "the role of a shared connection can't be changed"
-		return z.skipStatement(t)
+		return z.skipToEnd(t)
 	case t.is("time"):
 		s.Name = "timezone"
-		return z.skipStatement(z.next())
+		return z.skipToEnd(z.next())
 	}
-	return z.setValue(s, t)
+	return z.parseSetValue(s, t)
 }
 
-// setValue reads the name and value of SET name = value.
-func (z *tokenizer) setValue(s *Statement, t sqlToken) sqlToken {
+// parseSetValue parses the name and value of SET name = value.
+func (z *tokenizer) parseSetValue(s *Statement, t sqlToken) sqlToken {
 	s.Name = identifier(t)
 	if isStatementEnd(t) {
 		return t
@@ -349,7 +362,7 @@
 		return t
 	}
 	start := z.pos
-	end := z.skipStatement(z.next())
+	end := z.skipToEnd(z.next())
 	s.Value = strings.TrimSpace(z.sql[min(start, end.start):end.start])
 	if n := len(s.Value); n >= 2 && s.Value[0] == '\'' && s.Value[n-1] == '\'' {
 		s.Value = s.Value[1 : n-1]
@@ -357,15 +370,16 @@
 	return end
 }
 
-func (z *tokenizer) skipStatement(t sqlToken) sqlToken {
+// skipToEnd skips to the end of the statement, from token t on.
+func (z *tokenizer) skipToEnd(t sqlToken) sqlToken {
 	for !isStatementEnd(t) {
 		t = z.next()
 	}
 	return t
 }
 
-// call takes a call of the named function into account.
-func (s *Statement) call(name string) {
+// applyCall applies the effect of a call of the named function.
+func (s *Statement) applyCall(name string) {
 	switch effectOf(name) {
 	case effectPins:
 		s.Access = AccessWrite
@@ -377,7 +391,7 @@
 	}
 }
 
-// effect is what calling a function does.
+// effect is the effect of a function call.
 type effect string
 
 const (
@@ -387,10 +401,10 @@
 	effectWrites   effect = "Writes"
 )
 
-// maxFunctionName is the longest name in functionEffects, in bytes.
+// maxFunctionName is the maximum length, in bytes, of the names in functionEffects.
 const maxFunctionName = 32
 
-// functionEffects lists the built-in functions that write or keep session state.
+// functionEffects lists built-in functions that write or that use session state.
 var functionEffects = map[string]effect{
 	"currval":                     effectSequence,
 	"dblink":                      effectWrites,
@@ -423,7 +437,7 @@
 	"txid_current":                effectWrites,
 }
 
-// effectOf looks up a function without allocating.
+// effectOf returns the effect of a function. It doesn't allocate.
 func effectOf(name string) effect {
 	if len(name) > maxFunctionName {
 		return effectNone
@@ -439,7 +453,7 @@
 	return functionEffects[string(lower[:len(name)])]
 }
 
-// identifier returns a name as PostgreSQL folds it.
+// identifier returns a name as PostgreSQL does: unquoted names in lower case.
 func identifier(t sqlToken) string {
 	switch t.kind {
 	case tokenQuoted:
@@ -458,7 +472,8 @@
 	return t.kind == tokenEnd || t.kind == tokenSemicolon
 }
 
-// startsQuery reports whether the first word after opening brackets starts a query.
+// startsQuery reports whether the first word after the opening parentheses starts a
+// query.
 func startsQuery(sql string) bool {
 	z := tokenizer{sql: sql}
 	t := z.next()
--- a/caller/statement_test.go
+++ b/caller/statement_test.go
@@ -10,8 +10,8 @@
 	"github.com/nutmegpier/nutmegpier/caller"
 )
 
-// TestClassifyAccess guards against writes that are sent to a replica, also
-// when comments, strings or several statements hide them.
+// TestClassifyAccess guards against sending writes to a replica, also if they are
+// hidden behind comments, strings or other statements.
 func TestClassifyAccess(t *testing.T) {
 	for sql, want := range map[string]caller.Access{
 		"":                                     caller.AccessRead,
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestClassifySession guards against session state that isn't recognised, so
-// that it would leak to other sessions or be lost.
+// TestClassifySession guards against overlooking changes of session state, which
+// would then leak into other sessions or be lost.
 func TestClassifySession(t *testing.T) {
 	read, write := caller.AccessRead, caller.AccessWrite
 	for _, want := range []caller.Statement{
@@ -85,12 +85,12 @@
 	}
 	for _, sql := range []string{"listen a", "set role a", "set session authorization a", "reset session authorization", "set standard_conforming_strings = off"} {
 		if class := caller.Classify("select 1; " + sql); class.RefusalReason() == "" {
-			t.Errorf("%q isn't refused", sql)
+			t.Errorf("RefusalReason of %q is empty, want a reason", sql)
 		}
 	}
 }
 
-// TestClassifyHints guards against hints that are ignored, or read from
+// TestClassifyHints guards against ignoring hints, and against reading hints from
 // strings.
 func TestClassifyHints(t *testing.T) {
 	for sql, want := range map[string]caller.Hints{
@@ -105,8 +105,8 @@
 	}
 }
 
-// FuzzClassify guards against texts on which the tokenizer fails or doesn't
-// end, and against a write being hidden by what stands before it.
+// FuzzClassify guards against SQL texts on which the tokenizer panics or doesn't
+// terminate, and against results that differ between runs.
 func FuzzClassify(f *testing.F) {
 	for _, seed := range []string{"select 1", "select $a$ $a", "E'\\", "\"", "/*/*", "begin;commit", "set a.b = 'c'", "(((", "$1$", "declare \xff"} {
 		f.Add(seed)
--- a/caller/token.go
+++ b/caller/token.go
@@ -9,21 +9,23 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// TokenParameter is the parameter that carries the session token, both as
-// start-up parameter and as ParameterStatus.
+// TokenParameter is the name of the parameter that carries the session token.
+// Callers set it as a start-up parameter or with SET, and the proxy reports it in
+// ParameterStatus messages.
 const TokenParameter = "nutmegpier.session"
 
-// tokenVersion starts the text form of a token.
+// tokenVersion is the prefix of the text form of a token.
 const tokenVersion = "v1"
 
-// Token is the position of a session in the log of its group. It makes reads
-// consistent on each instance that the session roams to.
+// Token holds the log positions that a session has read and written. A session that
+// continues on another instance brings its token, so that its reads stay
+// consistent.
 type Token struct {
-	// Group is the group whose log the positions belong to.
+	// Group is the group that the positions refer to.
 	Group fleet.GroupID
-	// Seen is the newest position that a read of the session saw.
+	// Seen is the latest log position that a read of the session has seen.
 	Seen fleet.Position
-	// Written is the position of the session's last acknowledged write.
+	// Written is the log position of the session's last acknowledged write.
 	Written fleet.Position
 }
 
@@ -51,14 +53,15 @@
 	return Token{Group: fleet.GroupID(group), Seen: seen, Written: written}, nil
 }
 
-// String returns the text form "v1:group:written:seen". The group is escaped
-// as in a URL query, so that it holds no colon and no space.
+// String returns the text form "v1:group:written:seen". The group is query-escaped,
+// so that it contains no colon or space.
 func (t Token) String() string {
 	return tokenVersion + ":" + url.QueryEscape(string(t.Group)) + ":" + t.Written.String() + ":" + t.Seen.String()
 }
 
-// moveSeen returns the token after a read that saw position p, and whether it moved.
-func (t Token) moveSeen(p fleet.Position) (Token, bool) {
+// advanceSeen returns the token after a read that saw position p, and whether the
+// token changed.
+func (t Token) advanceSeen(p fleet.Position) (Token, bool) {
 	if p.Compare(t.Seen) <= 0 {
 		return t, false
 	}
@@ -66,9 +69,9 @@
 	return t, true
 }
 
-// moveWritten returns the token after an acknowledged write at position p, and
-// whether it moved.
-func (t Token) moveWritten(p fleet.Position) (Token, bool) {
+// advanceWritten returns the token after an acknowledged write at position p, and
+// whether the token changed.
+func (t Token) advanceWritten(p fleet.Position) (Token, bool) {
 	if p.Compare(t.Written) <= 0 {
 		return t, false
 	}
--- a/caller/tokenizer.go
+++ b/caller/tokenizer.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// tokenKind classifies a token of SQL.
+// tokenKind is the kind of an SQL token.
 type tokenKind string
 
 const (
@@ -14,28 +14,28 @@
 	tokenWord      tokenKind = "Word"
 )
 
-// sqlToken is one token. Text is a part of the SQL text; for a quoted
-// identifier it excludes the quotes.
+// sqlToken is one token. start is its offset in the SQL text. text is a substring
+// of the SQL text; for a quoted identifier it excludes the quotes.
 type sqlToken struct {
 	kind  tokenKind
 	start int
 	text  string
 }
 
-// is reports whether the token is the given lower-case keyword.
+// is reports whether the token is the given keyword, which must be in lower case.
 func (t sqlToken) is(keyword string) bool {
 	return t.kind == tokenWord && strings.EqualFold(t.text, keyword)
 }
 
-// tokenizer splits SQL into tokens as PostgreSQL does with
-// standard_conforming_strings on. Unterminated strings and comments end at the
-// end of the text.
+// tokenizer splits SQL into tokens like PostgreSQL with standard_conforming_strings
+// on. Unterminated strings and comments extend to the end of the text.
 type tokenizer struct {
 	hints Hints
 	pos   int
 	sql   string
 }
 
+// next returns the next token, after whitespace and comments.
 func (z *tokenizer) next() sqlToken {
 	z.skipSpace()
 	if z.pos >= len(z.sql) {
@@ -51,7 +51,7 @@
 		z.skipString(false)
 		return sqlToken{kind: tokenLiteral, start: start, text: z.sql[start:z.pos]}
 	case c == '"':
-		return z.quoted()
+		return z.quotedIdentifier()
 	case c == '$':
 		z.skipDollar()
 		return sqlToken{kind: tokenLiteral, start: start, text: z.sql[start:z.pos]}
@@ -67,8 +67,9 @@
 	return sqlToken{kind: tokenPunct, start: start, text: z.sql[start:z.pos]}
 }
 
-// quoted reads a quoted identifier. A doubled quote stays doubled in the text.
-func (z *tokenizer) quoted() sqlToken {
+// quotedIdentifier reads a quoted identifier. Doubled quotes stay doubled in the
+// token text.
+func (z *tokenizer) quotedIdentifier() sqlToken {
 	start := z.pos
 	z.pos++
 	for z.pos < len(z.sql) {
@@ -86,7 +87,8 @@
 	return sqlToken{kind: tokenQuoted, start: start, text: z.sql[start+1:]}
 }
 
-// skipBlockComment skips a comment, which may nest, and reads hints in it.
+// skipBlockComment skips a block comment, which may be nested, and parses the hints
+// in it.
 func (z *tokenizer) skipBlockComment() {
 	start := z.pos + 2
 	depth := 0
@@ -99,7 +101,7 @@
 			depth--
 			z.pos += 2
 			if depth == 0 {
-				z.hints.read(z.sql[start : z.pos-2])
+				z.hints.parse(z.sql[start : z.pos-2])
 				return
 			}
 		default:
@@ -128,12 +130,14 @@
 	z.pos = len(z.sql)
 }
 
+// skipLineComment skips a comment up to the end of the line and parses the hints in
+// it.
 func (z *tokenizer) skipLineComment() {
 	end := strings.IndexAny(z.sql[z.pos:], "\r\n")
 	if end < 0 {
 		end = len(z.sql) - z.pos
 	}
-	z.hints.read(z.sql[z.pos+2 : z.pos+end])
+	z.hints.parse(z.sql[z.pos+2 : z.pos+end])
 	z.pos += end
 }
 
@@ -153,7 +157,8 @@
 	}
 }
 
-// skipString skips a string that starts at the current quote.
+// skipString skips the string that starts at the current position. If backslash is
+// set, a backslash escapes the next character.
 func (z *tokenizer) skipString(backslash bool) {
 	z.pos++
 	for z.pos < len(z.sql) {
@@ -172,7 +177,7 @@
 	z.pos = len(z.sql)
 }
 
-// word reads a word. The word E directly before a quote starts a string with
+// word reads a word. A word E directly before a quote starts a string with
 // backslash escapes.
 func (z *tokenizer) word() sqlToken {
 	start := z.pos
