--- a/backend/conn.go
+++ b/backend/conn.go
@@ -140,14 +140,14 @@
 }
 
 // Begin says that a request that ends in one ReadyForQuery is about to be sent.
-func (c *Conn) Begin() {
+func (c *Conn) BeginRequest() {
 	c.inFlight++
 	c.moved = false
 }
 
-// BeginUnsynced says that messages are about to be sent that end in a Flush.
+// BeginUnsyncedRequest says that messages are about to be sent that end in a Flush.
 // The connection can't be reused before their Sync was answered.
-func (c *Conn) BeginUnsynced() {
+func (c *Conn) BeginUnsyncedRequest() {
 	c.unsynced = true
 }
 
@@ -210,7 +210,7 @@
 	}
 	if !c.bodyRead {
 		err := c.reader.CopyTo(w)
-		if err != nil && w.Failed() == nil {
+		if err != nil && w.Err() == nil {
 			return c.fail("read", err)
 		}
 		return err
@@ -226,7 +226,7 @@
 // Exec runs one simple query and discards its rows. An answer with an error is
 // an *Error of KindServer with the SQLSTATE; the connection stays usable.
 func (c *Conn) Exec(sql string) error {
-	c.Begin()
+	c.BeginRequest()
 	c.unnamed = ""
 	if err := c.writer.Message(&pgproto3.Query{String: sql}); err != nil {
 		return c.fail("exec", err)
@@ -275,12 +275,12 @@
 // Hold keeps what is written in memory until FlushAsync. Without it, a server
 // that waits for its answers to be read would block the sender of a long
 // pipeline for ever.
-func (c *Conn) Hold() {
+func (c *Conn) HoldWrites() {
 	c.writer.grows = true
 }
 
 // Moved reports whether the server reported a position since Begin, and which.
-func (c *Conn) Moved() (fleet.Position, bool) {
+func (c *Conn) ReportedPosition() (fleet.Position, bool) {
 	return c.position, c.moved
 }
 
@@ -324,7 +324,7 @@
 func (c *Conn) SendFrom(reader *FrameReader) error {
 	_ = c.net.SetWriteDeadline(time.Now().Add(c.config.AnswerTimeout))
 	err := reader.CopyTo(c.writer)
-	if err != nil && c.writer.Failed() != nil {
+	if err != nil && c.writer.Err() != nil {
 		return c.fail("write", err)
 	}
 	return err
--- a/backend/frame.go
+++ b/backend/frame.go
@@ -181,7 +181,7 @@
 }
 
 // Failed returns the error of the destination, if there was one.
-func (w *FrameWriter) Failed() error {
+func (w *FrameWriter) Err() error {
 	return w.failed
 }
 
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -29,7 +29,7 @@
 	QueueLimit int
 	// Starved is told when requests wait for a permit. It must not block or
 	// call the pool. Nil means nobody is told.
-	Starved func(server fleet.ServerID)
+	OnStarved func(server fleet.ServerID)
 }
 
 // PoolRequest asks a Pool for a connection.
@@ -160,7 +160,7 @@
 // Abort closes the connections to a server that are in use, and returns their
 // number. It is for a server that can't answer any more, so that its requests
 // end before the answer timeout.
-func (p *Pool) Abort(server fleet.ServerID) int {
+func (p *Pool) CloseInUse(server fleet.ServerID) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.servers[server]
@@ -202,27 +202,27 @@
 	}
 }
 
-// GivePermit gives up one permit for a server, and reports false if all are in
-// use. The connection that used it is closed when GivePermit returns.
-func (p *Pool) GivePermit(server fleet.ServerID) bool {
+// ReleasePermit gives up one permit for a server, and reports false if all are in
+// use. The connection that used it is closed when ReleasePermit returns.
+func (p *Pool) ReleasePermit(server fleet.ServerID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.servers[server]
 	if s == nil {
 		return false
 	}
-	actions, given := s.state.GivePermit(p.config.Now())
+	actions, given := s.state.ReleasePermit(p.config.Now())
 	p.perform(s, actions)
 	return given
 }
 
 // Held returns the number of permits in effect for a server. It is above the
 // limit while connections over a lowered limit are still in use.
-func (p *Pool) Held(server fleet.ServerID) int {
+func (p *Pool) HeldPermits(server fleet.ServerID) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.servers[server]; s != nil {
-		return s.state.Held()
+		return s.state.HeldPermits()
 	}
 	return 0
 }
@@ -246,11 +246,11 @@
 }
 
 // Warm keeps at least n connections to a server open, within its permits.
-func (p *Pool) Warm(server fleet.ServerID, n int) {
+func (p *Pool) SetMinConnections(server fleet.ServerID, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.servers[server]; s != nil {
-		p.perform(s, s.state.Warm(p.config.Now(), n))
+		p.perform(s, s.state.SetMinConnections(p.config.Now(), n))
 	}
 }
 
@@ -359,8 +359,8 @@
 		case ActionRefuse:
 			s.resolve(action.Waiter, grant{err: &Error{Op: "acquire", Kind: KindUnavailable, Err: s.lastErr}})
 		case ActionStarved:
-			if p.config.Starved != nil {
-				p.config.Starved(s.id)
+			if p.config.OnStarved != nil {
+				p.config.OnStarved(s.id)
 			}
 		}
 	}
--- a/backend/pool_race_test.go
+++ b/backend/pool_race_test.go
@@ -15,7 +15,7 @@
 // use twice. The tests in virtual time run without the race detector.
 func TestPoolConcurrentUse(t *testing.T) {
 	s := &script{reply: done}
-	pool := backend.NewPool(backend.PoolConfig{Connect: s.connect, Starved: func(fleet.ServerID) {}})
+	pool := backend.NewPool(backend.PoolConfig{Connect: s.connect, OnStarved: func(fleet.ServerID) {}})
 	defer pool.Close()
 	pool.SetServer("s1", "a", backend.Limits{Permits: 3, Slots: 2})
 	var users sync.WaitGroup
@@ -37,8 +37,8 @@
 	users.Go(func() {
 		for permits := range 50 {
 			pool.SetServer("s1", "a", backend.Limits{Permits: 1 + permits%3, Slots: 2})
-			pool.Warm("s1", permits%3)
-			pool.GivePermit("s1")
+			pool.SetMinConnections("s1", permits%3)
+			pool.ReleasePermit("s1")
 			pool.SetServer("s1", "a", backend.Limits{Permits: 3, Slots: 2})
 		}
 	})
--- a/backend/pool_test.go
+++ b/backend/pool_test.go
@@ -123,7 +123,7 @@
 	}
 	adopt := func(owner uint64, profile string) {
 		t.Helper()
-		if err := conn.Adopt(owner, profile); err != nil {
+		if err := conn.PrepareFor(owner, profile); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -131,7 +131,7 @@
 	adopt(1, "SET a TO '1'")
 	adopt(2, "SET a TO '1'")
 	adopt(2, "")
-	conn.Touch()
+	conn.MarkStateChanged()
 	adopt(2, "")
 	adopt(3, "SET a TO '2'")
 	if diff := cmp.Diff([]string{"SET a TO '1'", "RESET ALL", "DISCARD ALL", "SET a TO '2'"}, s.log); diff != "" {
--- a/backend/pool_time_test.go
+++ b/backend/pool_time_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{reply: done}
 		starved := make(chan fleet.ServerID, 10)
-		pool := backend.NewPool(backend.PoolConfig{Connect: s.connect, Starved: func(server fleet.ServerID) { starved <- server }})
+		pool := backend.NewPool(backend.PoolConfig{Connect: s.connect, OnStarved: func(server fleet.ServerID) { starved <- server }})
 		defer pool.Close()
 		ctx := context.Background()
 		if _, err := pool.Acquire(ctx, time.Now(), poolRequest(time.Second)); kindOf(err) != backend.KindUnavailable {
@@ -41,19 +41,19 @@
 		if diff := cmp.Diff(fleet.ServerID("s1"), <-starved); diff != "" {
 			t.Errorf("starved server (-want +got):\n%s", diff)
 		}
-		if pool.GivePermit("s1") {
+		if pool.ReleasePermit("s1") {
 			t.Error("gave the permit of a connection in use")
 		}
 		first.Release(true)
 		first.Release(true)
-		if !pool.GivePermit("s1") {
+		if !pool.ReleasePermit("s1") {
 			t.Error("kept the permit of an idle connection")
 		}
 		if diff := cmp.Diff(backend.Counts{}, pool.Counts("s1")); diff != "" {
 			t.Errorf("counts after giving the permit (-want +got):\n%s", diff)
 		}
 		pool.SetServer("s1", "a", backend.Limits{Permits: 3, Slots: 2})
-		pool.Warm("s1", 3)
+		pool.SetMinConnections("s1", 3)
 		synctest.Wait()
 		if diff := cmp.Diff(backend.Counts{Idle: 3}, pool.Counts("s1")); diff != "" {
 			t.Errorf("counts after warm-up (-want +got):\n%s", diff)
--- a/backend/poolstate.go
+++ b/backend/poolstate.go
@@ -129,9 +129,9 @@
 	return p.advance(now), true
 }
 
-// GivePermit gives up one permit if that interrupts no work. A permit without
+// ReleasePermit gives up one permit if that interrupts no work. A permit without
 // connection is given before one of an idle connection, which is then closed.
-func (p *PoolState) GivePermit(now time.Time) (actions []Action, given bool) {
+func (p *PoolState) ReleasePermit(now time.Time) (actions []Action, given bool) {
 	busy := p.counts.InUse + p.counts.Opening
 	if p.limits.Permits == 0 || busy >= p.limits.Permits {
 		return nil, false
@@ -142,7 +142,7 @@
 
 // Held returns the number of permits that are in effect. It is above the limit
 // while connections over a lowered limit are still in use.
-func (p *PoolState) Held() int {
+func (p *PoolState) HeldPermits() int {
 	return max(p.limits.Permits, p.counts.total())
 }
 
@@ -209,7 +209,7 @@
 }
 
 // Warm keeps at least n connections open, within the permits.
-func (p *PoolState) Warm(now time.Time, n int) []Action {
+func (p *PoolState) SetMinConnections(now time.Time, n int) []Action {
 	p.warm = n
 	return p.advance(now)
 }
--- a/backend/poolstate_test.go
+++ b/backend/poolstate_test.go
@@ -99,7 +99,7 @@
 				limits = backend.Limits{Permits: rapid.IntRange(0, 6).Draw(t, "permits"), Slots: rapid.IntRange(1, 4).Draw(t, "slots")}
 				m.perform(m.state.SetLimits(m.now, limits))
 			case 6:
-				actions, given := m.state.GivePermit(m.now)
+				actions, given := m.state.ReleasePermit(m.now)
 				m.perform(actions)
 				if given {
 					limits.Permits--
@@ -108,7 +108,7 @@
 					t.Fatal("a permit in use was given up")
 				}
 			case 7:
-				m.perform(m.state.Warm(m.now, rapid.IntRange(0, 3).Draw(t, "warm")))
+				m.perform(m.state.SetMinConnections(m.now, rapid.IntRange(0, 3).Draw(t, "warm")))
 			case 8:
 				if rapid.IntRange(0, 9).Draw(t, "drain") == 0 {
 					m.perform(m.state.Drain())
@@ -118,7 +118,7 @@
 			// Connections over a lowered limit may only become fewer.
 			maxOpen = max(limits.Permits, min(maxOpen, m.idle+m.inUse+m.opening))
 			maxInUse = max(limits.Slots, min(maxInUse, m.inUse))
-			if total := m.idle + m.inUse + m.opening; total > maxOpen || m.inUse > maxInUse || m.opening > 2 || total > m.state.Held() {
+			if total := m.idle + m.inUse + m.opening; total > maxOpen || m.inUse > maxInUse || m.opening > 2 || total > m.state.HeldPermits() {
 				t.Fatalf("%d idle, %d in use, %d opening exceed %+v", m.idle, m.inUse, m.opening, limits)
 			}
 			want := backend.Counts{Idle: m.idle, InUse: m.inUse, Opening: m.opening, Waiting: len(m.waiting)}
--- a/backend/state.go
+++ b/backend/state.go
@@ -6,13 +6,13 @@
 // Adopt makes the session state of the connection that of the given owner.
 // Profile is the SQL that sets the owner's settings, or empty. State that
 // another owner left behind is discarded first.
-func (c *Conn) Adopt(owner uint64, profile string) error {
+func (c *Conn) PrepareFor(owner uint64, profile string) error {
 	if c.touched && c.owner != owner {
 		if err := c.Exec("DISCARD ALL"); err != nil {
 			c.broken = true
 			return err
 		}
-		c.Forget()
+		c.ClearPrepared()
 		c.profile = ""
 		c.touched = false
 	}
@@ -36,7 +36,7 @@
 }
 
 // Forget says that the connection holds no prepared statement any more.
-func (c *Conn) Forget() {
+func (c *Conn) ClearPrepared() {
 	clear(c.prepared)
 	c.unnamed = ""
 }
@@ -48,12 +48,12 @@
 }
 
 // Prepared returns the number of prepared statements on the connection.
-func (c *Conn) Prepared() int {
+func (c *Conn) PreparedCount() int {
 	return len(c.prepared)
 }
 
 // Retire keeps the connection from being reused.
-func (c *Conn) Retire() {
+func (c *Conn) MarkBroken() {
 	c.broken = true
 }
 
@@ -66,28 +66,28 @@
 	delete(c.prepared, name)
 }
 
-// SetProfile notes the settings that statements have put into effect.
-func (c *Conn) SetProfile(profile string) {
+// SetSettings notes the settings that statements have put into effect.
+func (c *Conn) SetSettings(profile string) {
 	c.profile = profile
 }
 
-// SetProfileUnknown notes that the settings must be set anew before the next use.
-func (c *Conn) SetProfileUnknown() {
+// SetSettingsUnknown notes that the settings must be set anew before the next use.
+func (c *Conn) SetSettingsUnknown() {
 	c.profile = unknownProfile
 }
 
-// SetUnnamed notes which statement the unnamed one is. Empty means unknown.
-func (c *Conn) SetUnnamed(key string) {
+// SetUnnamedStatement notes which statement the unnamed one is. Empty means unknown.
+func (c *Conn) SetUnnamedStatement(key string) {
 	c.unnamed = key
 }
 
 // Touch notes that the session state may have changed unseen, so that it is
 // discarded before another owner uses the connection.
-func (c *Conn) Touch() {
+func (c *Conn) MarkStateChanged() {
 	c.touched = true
 }
 
 // Unnamed returns the key of the unnamed statement, or empty.
-func (c *Conn) Unnamed() string {
+func (c *Conn) UnnamedStatement() string {
 	return c.unnamed
 }
--- a/caller/check.go
+++ b/caller/check.go
@@ -101,7 +101,7 @@
 // applyChanges applies the recorded changes of a completed request to the session.
 func (s *session) applyChanges(r *request, result relayResult, conn *backend.Conn) {
 	if r.mayChangeSession {
-		conn.Touch()
+		conn.MarkStateChanged()
 	}
 	s.applyImmediateChanges(result, conn)
 	if s.txStatus != backend.TxIdle {
@@ -138,12 +138,12 @@
 // unknown whether it ran, so the connection isn't reused.
 func (s *session) clearPrepared(result relayResult, conn *backend.Conn) {
 	if result.code != "" {
-		conn.Retire()
+		conn.MarkBroken()
 		return
 	}
 	clear(s.prepared)
 	s.preparedSize = 0
-	conn.Forget()
+	conn.ClearPrepared()
 }
 
 // applyCommittedChanges applies the changes of settings that a commit made
@@ -163,16 +163,16 @@
 	}
 	switch {
 	case reset:
-		conn.SetProfileUnknown()
+		conn.SetSettingsUnknown()
 	case changed:
-		conn.SetProfile(s.settingsSQL)
+		conn.SetSettings(s.settingsSQL)
 	}
 }
 
 // pin reserves the connection for the session until the session ends.
 func (s *session) pin(conn *backend.Conn) {
 	s.pinned = true
-	conn.Touch()
+	conn.MarkStateChanged()
 }
 
 // discardChanges discards the recorded changes of a failed request.
--- a/caller/extended.go
+++ b/caller/extended.go
@@ -215,7 +215,7 @@
 // expect.
 func (s *session) send(r *request, conn *backend.Conn) error {
 	if r.simpleQuery {
-		conn.SetUnnamed("")
+		conn.SetUnnamedStatement("")
 		return sendParts(conn, 'Q', []byte(r.sql), []byte{0})
 	}
 	for _, m := range s.batch.messages {
@@ -263,7 +263,7 @@
 	backendName := statement.name
 	if unnamed {
 		backendName = ""
-		conn.SetUnnamed(statement.name)
+		conn.SetUnnamedStatement(statement.name)
 	} else {
 		conn.SetPrepared(backendName, true)
 	}
@@ -279,7 +279,7 @@
 		return string(name), nil
 	}
 	if len(name) == 0 {
-		if conn.Unnamed() != statement.name {
+		if conn.UnnamedStatement() != statement.name {
 			return "", s.sendNewParse(conn, true, statement, true)
 		}
 		return "", nil
@@ -399,7 +399,7 @@
 			continue
 		}
 		if pendingReply.name == "" {
-			conn.SetUnnamed("")
+			conn.SetUnnamedStatement("")
 			continue
 		}
 		conn.SetPrepared(pendingReply.name, false)
@@ -409,7 +409,7 @@
 
 // deallocateAll deallocates all prepared statements of a connection.
 func (s *session) deallocateAll(conn *backend.Conn) error {
-	conn.Forget()
+	conn.ClearPrepared()
 	return conn.Exec("DEALLOCATE ALL")
 }
 
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -43,9 +43,9 @@
 		s.heldMessages = s.heldMessages[:0]
 	}
 	if r.endsWithSync {
-		conn.Begin()
+		conn.BeginRequest()
 	} else {
-		conn.BeginUnsynced()
+		conn.BeginUnsyncedRequest()
 	}
 	if !r.simpleQuery && len(s.batch.data) > maxUnreadBytes {
 		return s.attemptLongBatch(r, conn)
@@ -62,7 +62,7 @@
 // attemptLongBatch sends a long batch in the background while it relays the
 // replies.
 func (s *session) attemptLongBatch(r *request, conn *backend.Conn) (relayResult, error) {
-	conn.Hold()
+	conn.HoldWrites()
 	if err := s.send(r, conn); err != nil {
 		return relayResult{err: err}, nil
 	}
@@ -111,7 +111,7 @@
 			return state.relayResult, nil
 		}
 		if err := s.relayFrame(r, conn, frame, &state); err != nil {
-			if s.writer.Failed() != nil || !isBackendError(err) {
+			if s.writer.Err() != nil || !isBackendError(err) {
 				return state.relayResult, err
 			}
 			state.relayResult.err = err
--- a/caller/request.go
+++ b/caller/request.go
@@ -288,7 +288,7 @@
 	}
 	s.setLease(lease)
 	conn := lease.Conn()
-	if err := conn.Adopt(s.id, s.settingsSQL); err != nil {
+	if err := conn.PrepareFor(s.id, s.settingsSQL); err != nil {
 		s.release(conn.Reusable())
 		return adoptError(err)
 	}
@@ -298,7 +298,7 @@
 			return lostError("the transaction could not be moved to another server")
 		}
 	}
-	if conn.Prepared() > maxPreparedPerConn {
+	if conn.PreparedCount() > maxPreparedPerConn {
 		if err := s.deallocateAll(conn); err != nil {
 			s.release(false)
 			return adoptError(err)
@@ -350,7 +350,7 @@
 // finishRequest completes a request to which the server sent its full response.
 func (s *session) finishRequest(r *request, result relayResult) error {
 	conn := s.lease.Conn()
-	position, reported := conn.Moved()
+	position, reported := conn.ReportedPosition()
 	primary := s.lease.Primary()
 	if !r.endsWithSync {
 		return s.finishFlush()
--- a/caller/session.go
+++ b/caller/session.go
@@ -258,7 +258,7 @@
 	}
 	conn := current.Conn()
 	if s.pinned {
-		conn.Touch()
+		conn.MarkStateChanged()
 	}
 	s.release(conn.Reusable())
 }
--- a/cmd/gatewayd/servecmd.go
+++ b/cmd/gatewayd/servecmd.go
@@ -129,7 +129,7 @@
 	defer signal.Stop(reload)
 
 	running, relays := newGateway(settings, epoch, gateway.NewLog(recorder, settings.Log.LinesPerSecond), opened.peers)
-	callers := platform.NewCallers(session.Config{
+	callers := platform.NewCallerServer(session.Config{
 		Clock: bootTime, AccessController: running, Jitter: rand.Float64, Observer: running, Sleep: time.Sleep, Router: running,
 	}, running.TransactionIdle)
 	recorder.Record(event.InstanceStarted, event.Fields{Text: runtime.Version()})
@@ -156,7 +156,7 @@
 }
 
 // start starts all that serves. The channel gets the first failure.
-func start(ctx context.Context, running *gateway.Gateway, callers *platform.Callers, relays *relay.Server, opened listeners) <-chan error {
+func start(ctx context.Context, running *gateway.Gateway, callers *platform.CallerServer, relays *relay.Server, opened listeners) <-chan error {
 	const servers = 5
 	failed := make(chan error, servers)
 	ready := platform.ReadyHandler(func() bool { return running.Ready(bootTime()) })
@@ -206,7 +206,7 @@
 		Epoch:    epoch,
 		Instance: settings.Instance,
 		Log:      log,
-		Promoter: platform.NewPromotions(client, settings.PromotionAddress),
+		Promoter: platform.NewPromotionClient(client, settings.PromotionAddress),
 		Settings: settings,
 		Source:   platform.Source{},
 		Store:    platform.NewStore(client, settings.StoreAddress),
@@ -231,7 +231,7 @@
 
 // drain ends the sessions of a planned stop. New callers arrive until the
 // platform has taken the instance out of rotation, and are served.
-func drain(settings gateway.Settings, running *gateway.Gateway, callers *platform.Callers, listener net.Listener) {
+func drain(settings gateway.Settings, running *gateway.Gateway, callers *platform.CallerServer, listener net.Listener) {
 	began := bootTime()
 	running.Drain()
 	time.Sleep(min(rotationTime, settings.StopBound/2))
--- a/instance/groupwatch.go
+++ b/instance/groupwatch.go
@@ -18,7 +18,7 @@
 		view, changed := section.Section.Watch()
 		for _, change := range watch.observe(i.config.Now(), view) {
 			if change.abort {
-				i.pool.Abort(change.server)
+				i.pool.CloseInUse(change.server)
 			}
 			if change.number != 0 {
 				i.config.Events.Record(change.number, change.fields(section.Group))
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -111,7 +111,7 @@
 		Connect:    i.connect,
 		MaxOpening: config.Settings.Backend.MaxOpenings,
 		Now:        config.Now,
-		Starved:    i.noteStarved,
+		OnStarved:  i.noteStarved,
 	})
 	i.archive = &archive{
 		epoch:    config.Epoch,
--- a/instance/poolkeeper.go
+++ b/instance/poolkeeper.go
@@ -55,7 +55,7 @@
 				permits := i.limits.Permits(server.Server)
 				warm = min(permits, slotsOf(controller.settings, permits))
 			}
-			i.pool.Warm(server.Server, warm)
+			i.pool.SetMinConnections(server.Server, warm)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 // releasePermits gives up as many of the wanted permits as are not in use.
 func (i *Instance) releasePermits(server fleet.ServerID, wanted int) peer.PermitUse {
 	for range wanted {
-		if !i.pool.GivePermit(server) {
+		if !i.pool.ReleasePermit(server) {
 			break
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 func (i *Instance) permitUse(server fleet.ServerID) peer.PermitUse {
-	return peer.PermitUse{InEffect: i.pool.Held(server), Waiting: i.pool.Counts(server).Waiting}
+	return peer.PermitUse{InEffect: i.pool.HeldPermits(server), Waiting: i.pool.Counts(server).Waiting}
 }
 
 // noteStarved wakes the keeper of the pool. It does not block.
