--- a/backend/conn.go
+++ b/backend/conn.go
@@ -18,36 +18,39 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// ApplicationName is the application name of each session connection. It is
-// fixed, so that nothing of a caller shows on a backend server.
+// ApplicationName is the application name of all session connections. It is fixed,
+// so that backend servers see no information about callers.
 const ApplicationName = "nutmegpier"
 
 // Defaults of a connection.
 const (
 	defaultAnswerTimeout  = time.Minute
 	defaultConnectTimeout = 3 * time.Second
-	defaultMaxMessage     = 1 << 30
+	defaultMaxMessageSize = 1 << 30
 	readBufferSize        = 16 << 10
 	writeBufferSize       = 16 << 10
-	// wholeBodySize is the size up to which a body is read before it is passed on.
-	wholeBodySize = 8 << 10
+	// maxBufferedBodySize is the size up to which CopyTo reads a body completely
+	// before it writes the message.
+	maxBufferedBodySize = 8 << 10
 )
 
-// positionParameter is the parameter in which a server reports its position.
+// positionParameter is the name of the ParameterStatus in which a server reports
+// its log position.
 const positionParameter = "group_position"
 
-// Transaction states as ReadyForQuery reports them.
+// Transaction states in ReadyForQuery messages.
 const (
 	TxFailed byte = 'E'
 	TxIdle   byte = 'I'
 	TxOpen   byte = 'T'
 )
 
-// ConnConfig says how to connect to a backend server.
+// ConnConfig holds the settings of a connection to a backend server.
 type ConnConfig struct {
 	// Address is the host and port of the server.
 	Address string
-	// AnswerTimeout bounds each wait for bytes of an answer. Zero means one minute.
+	// AnswerTimeout bounds each wait for data of a response, and each write. Zero
+	// means one minute.
 	AnswerTimeout time.Duration
 	// ConnectTimeout bounds connecting and authentication. Zero means 3 s.
 	ConnectTimeout time.Duration
@@ -57,7 +60,7 @@
 	Dial Dial
 	// Password is the proxy's own password. It may be empty.
 	Password string
-	// Server is the id of the server.
+	// Server is the ID of the server.
 	Server fleet.ServerID
 	// User is the proxy's own user name.
 	User string
@@ -66,33 +69,48 @@
 // Conn is one session connection to a backend server. It isn't safe for
 // concurrent use, except for Cancel and Close.
 type Conn struct {
+	// body is the body of the current message if bodyRead is set.
 	body     []byte
 	bodyRead bool
 	broken   bool
 	config   ConnConfig
-	frame    Frame
-	inFlight int
-	moved    bool
-	net      net.Conn
+	// frame is the header of the current message.
+	frame Frame
+	// pendingReady is the number of outstanding ReadyForQuery messages.
+	pendingReady int
+	// positionReported is true if position was reported since BeginRequest.
+	positionReported bool
+	net              net.Conn
+	// pid and cancelKey identify the connection in a cancel request.
 	pid      uint32
 	position fleet.Position
-	peek     syscall.RawConn
+	// rawConn, peekErr and peekFunc are used by Alive. rawConn is nil if the
+	// network connection is not a socket.
+	rawConn  syscall.RawConn
 	peekErr  error
 	peekFunc func(fd uintptr) bool
+	// prepared holds the names of the prepared statements on the connection.
 	prepared map[string]struct{}
-	profile  string
+	// settings is the SQL that produced the current settings, empty for the
+	// defaults, or unknownSettings.
+	settings string
 	reader   *FrameReader
-	ready    bool
-	secret   []byte
-	touched  bool
-	owner    uint64
-	txStatus byte
-	unnamed  string
+	// established is true after the startup, which has a deadline of its own.
+	established bool
+	cancelKey   []byte
+	// stateChanged is true if the session state must be discarded before another
+	// owner uses the connection.
+	stateChanged bool
+	owner        uint64
+	txStatus     byte
+	// unnamedStatement is the key of the unnamed prepared statement, or empty.
+	unnamedStatement string
+	// unsynced is true if messages were sent whose Sync has not been answered.
 	unsynced bool
 	writer   *FrameWriter
 }
 
-// Connect opens a connection and authenticates with the proxy's credentials.
+// Connect opens a connection and authenticates with the proxy's own credentials.
 // Errors are of type *Error.
 func Connect(ctx context.Context, config ConnConfig) (*Conn, error) {
 	config = config.withDefaults()
@@ -106,7 +124,7 @@
 		config:   config,
 		net:      netConn,
 		prepared: make(map[string]struct{}),
-		reader:   NewFrameReader(netConn, readBufferSize, defaultMaxMessage),
+		reader:   NewFrameReader(netConn, readBufferSize, defaultMaxMessageSize),
 		writer:   NewFrameWriter(netConn, writeBufferSize),
 	}
 	deadline, _ := ctx.Deadline()
@@ -121,32 +139,34 @@
 		return nil, err
 	}
 	_ = netConn.SetDeadline(time.Time{})
-	c.ready = true
+	c.established = true
 	c.preparePeek()
 	return c, nil
 }
 
-// Alive reports whether an idle connection is still open, as far as this side
-// knows. It doesn't block. A server that closed the connection while it was
-// idle would otherwise make the outcome of the next write unknown.
+// Alive reports whether an idle connection is still open, as far as is known
+// locally. It doesn't block. If the server closed the connection while it was idle,
+// using it for a write would leave the outcome of that write unknown.
 func (c *Conn) Alive() bool {
-	if c.peek == nil {
+	if c.rawConn == nil {
 		return true
 	}
-	if err := c.peek.Read(c.peekFunc); err != nil {
+	if err := c.rawConn.Read(c.peekFunc); err != nil {
 		return false
 	}
 	return errors.Is(c.peekErr, syscall.EAGAIN)
 }
 
-// Begin says that a request that ends in one ReadyForQuery is about to be sent.
+// BeginRequest must be called before sending a request that the server answers
+// with one final ReadyForQuery.
 func (c *Conn) BeginRequest() {
-	c.inFlight++
-	c.moved = false
+	c.pendingReady++
+	c.positionReported = false
 }
 
-// BeginUnsyncedRequest says that messages are about to be sent that end in a Flush.
-// The connection can't be reused before their Sync was answered.
+// BeginUnsyncedRequest must be called before sending extended query messages that
+// end in a Flush instead of a Sync. The connection can't be reused until a later
+// Sync has been answered.
 func (c *Conn) BeginUnsyncedRequest() {
 	c.unsynced = true
 }
@@ -164,15 +184,16 @@
 	return body, nil
 }
 
-// Buffered reports whether bytes of the server wait in the buffer.
+// Buffered reports whether received data is waiting in the buffer.
 func (c *Conn) Buffered() bool {
 	return c.reader.Buffered() > 0
 }
 
-// Cancel asks the server to cancel what runs on the connection, over a second
-// network connection. It returns when the server has closed that one, so the
-// signal was sent. A statement that ended meanwhile isn't affected, but the
-// next one may be: the connection must not be reused by another session.
+// Cancel sends a cancel request for the running statement over a second network
+// connection. It returns once the server has closed that connection, which means
+// that the server has processed the request. If the statement has already ended,
+// the request may cancel the next one, so another session must not reuse the
+// connection.
 func (c *Conn) Cancel(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, c.config.ConnectTimeout)
 	defer cancel()
@@ -183,7 +204,7 @@
 	defer netConn.Close()
 	deadline, _ := ctx.Deadline()
 	_ = netConn.SetDeadline(deadline)
-	request, err := (&pgproto3.CancelRequest{ProcessID: c.pid, SecretKey: c.secret}).Encode(nil)
+	request, err := (&pgproto3.CancelRequest{ProcessID: c.pid, SecretKey: c.cancelKey}).Encode(nil)
 	if err != nil {
 		return &Error{Op: "cancel", Kind: KindProtocol, Err: err}
 	}
@@ -194,16 +215,16 @@
 	return nil
 }
 
-// Close closes the connection without a farewell.
+// Close closes the connection without sending Terminate.
 func (c *Conn) Close() error {
 	return c.net.Close()
 }
 
-// CopyTo writes the current message to w. After an error, w.Failed tells
-// whether the destination or the connection failed, and Truncated whether a
-// part of the message was written.
+// CopyTo writes the current message to w. After an error, w.Err tells whether the
+// destination or the connection failed, and Truncated whether part of the message
+// was written.
 func (c *Conn) CopyTo(w *FrameWriter) error {
-	if !c.bodyRead && c.frame.Size <= wholeBodySize {
+	if !c.bodyRead && c.frame.Size <= maxBufferedBodySize {
 		if _, err := c.Body(); err != nil {
 			return err
 		}
@@ -223,11 +244,12 @@
 	return w.Raw(c.body)
 }
 
-// Exec runs one simple query and discards its rows. An answer with an error is
-// an *Error of KindServer with the SQLSTATE; the connection stays usable.
+// Exec runs one simple query and discards its rows. If the server responds with an
+// error, Exec returns an *Error of KindServer with the SQLSTATE, and the connection
+// stays usable.
 func (c *Conn) Exec(sql string) error {
 	c.BeginRequest()
-	c.unnamed = ""
+	c.unnamedStatement = ""
 	if err := c.writer.Message(&pgproto3.Query{String: sql}); err != nil {
 		return c.fail("exec", err)
 	}
@@ -249,7 +271,7 @@
 	}
 }
 
-// Flush sends what was written with Send.
+// Flush sends the buffered data.
 func (c *Conn) Flush() error {
 	_ = c.net.SetWriteDeadline(time.Now().Add(c.config.AnswerTimeout))
 	if err := c.writer.Flush(); err != nil {
@@ -258,12 +280,12 @@
 	return nil
 }
 
-// FlushAsync sends what was written since Hold while the caller reads the
-// answers. The result is sent on the channel; until then nothing else may be
-// written.
+// FlushAsync sends the data written since HoldWrites in the background, while the
+// caller reads responses. The result is sent on the channel. Until then nothing
+// else may be written.
 func (c *Conn) FlushAsync() <-chan error {
 	sent := make(chan error, 1)
-	data := c.writer.take(writeBufferSize)
+	data := c.writer.detach(writeBufferSize)
 	_ = c.net.SetWriteDeadline(time.Now().Add(c.config.AnswerTimeout))
 	go func() {
 		_, err := c.net.Write(data)
@@ -272,23 +294,24 @@
 	return sent
 }
 
-// Hold keeps what is written in memory until FlushAsync. Without it, a server
-// that waits for its answers to be read would block the sender of a long
-// pipeline for ever.
+// HoldWrites keeps all written data in memory until FlushAsync. Otherwise a long
+// pipeline could deadlock: the server stops reading until its responses are read,
+// and the sender blocks before it reads them.
 func (c *Conn) HoldWrites() {
-	c.writer.grows = true
+	c.writer.unbounded = true
 }
 
-// Moved reports whether the server reported a position since Begin, and which.
+// ReportedPosition returns the last position that the server reported, and whether
+// it was reported since BeginRequest.
 func (c *Conn) ReportedPosition() (fleet.Position, bool) {
-	return c.position, c.moved
+	return c.position, c.positionReported
 }
 
-// Next reads the header of the next message. It keeps track of positions and
-// of the transaction state. Errors make the connection broken.
+// Next reads the header of the next message, and updates the reported position and
+// the transaction state. After an error the connection is broken.
 func (c *Conn) Next() (Frame, error) {
 	c.body, c.bodyRead = nil, false
-	if c.ready && c.reader.Buffered() == 0 {
+	if c.established && c.reader.Buffered() == 0 {
 		_ = c.net.SetReadDeadline(time.Now().Add(c.config.AnswerTimeout))
 	}
 	frame, err := c.reader.Next()
@@ -305,13 +328,13 @@
 	return frame, nil
 }
 
-// Reusable reports whether the connection is in a known state outside a
-// transaction, so that another request may use it.
+// Reusable reports whether another request may use the connection: it is not
+// broken, outside a transaction, and has no outstanding responses.
 func (c *Conn) Reusable() bool {
-	return !c.broken && !c.unsynced && c.inFlight == 0 && c.txStatus == TxIdle && c.reader.Buffered() == 0
+	return !c.broken && !c.unsynced && c.pendingReady == 0 && c.txStatus == TxIdle && c.reader.Buffered() == 0
 }
 
-// Send appends raw bytes to what Flush sends.
+// Send appends raw bytes to the data that Flush sends.
 func (c *Conn) Send(p []byte) error {
 	if err := c.writer.Raw(p); err != nil {
 		return c.fail("write", err)
@@ -319,8 +342,9 @@
 	return nil
 }
 
-// SendFrom appends the current message of a reader. Errors of the connection
-// are of type *Error, those of the reader are passed on unchanged.
+// SendFrom appends the current message of a reader to the data that Flush sends.
+// Errors of the connection are of type *Error; errors of the reader are returned
+// unchanged.
 func (c *Conn) SendFrom(reader *FrameReader) error {
 	_ = c.net.SetWriteDeadline(time.Now().Add(c.config.AnswerTimeout))
 	err := reader.CopyTo(c.writer)
@@ -330,7 +354,7 @@
 	return err
 }
 
-// SendMessage appends an encoded message to what Flush sends.
+// SendMessage appends an encoded message to the data that Flush sends.
 func (c *Conn) SendMessage(message Encoder) error {
 	if err := c.writer.Message(message); err != nil {
 		return c.fail("write", err)
@@ -338,15 +362,15 @@
 	return nil
 }
 
-// Server returns the id of the server.
+// Server returns the ID of the server.
 func (c *Conn) Server() fleet.ServerID {
 	return c.config.Server
 }
 
-// Truncated reports whether CopyTo failed after it wrote a part of the current
-// message. What follows it can't be understood any more.
+// Truncated reports whether CopyTo failed after it had written part of the current
+// message. The receiver can't interpret any data after that.
 func (c *Conn) Truncated() bool {
-	return c.broken && !c.bodyRead && c.frame.Size > wholeBodySize
+	return c.broken && !c.bodyRead && c.frame.Size > maxBufferedBodySize
 }
 
 // TxStatus returns the transaction state that the server last reported.
@@ -354,45 +378,46 @@
 	return c.txStatus
 }
 
-// Unsynced reports whether messages were sent whose Sync is missing.
+// Unsynced reports whether messages were sent whose Sync has not been answered.
 func (c *Conn) Unsynced() bool {
 	return c.unsynced
 }
 
+// authenticate handles the current authentication message.
 func (c *Conn) authenticate() error {
 	body, err := c.Body()
 	if err != nil {
 		return err
 	}
 	if len(body) < 4 {
-		return c.fail("authenticate", errors.New("short authentication message"))
+		return c.fail("authenticate", errors.New("the authentication message is shorter than 4 bytes"))
 	}
 	switch code := binary.BigEndian.Uint32(body); code {
 	case pgproto3.AuthTypeOk:
 		return nil
 	case pgproto3.AuthTypeCleartextPassword:
-		return c.sendNow(&pgproto3.PasswordMessage{Password: c.config.Password})
+		return c.sendAndFlush(&pgproto3.PasswordMessage{Password: c.config.Password})
 	case pgproto3.AuthTypeSASL:
 		return c.authenticateSCRAM()
 	default:
-		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: fmt.Errorf("authentication type %d is not supported", code)}
+		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: fmt.Errorf("the server requests authentication type %d, which is not supported", code)}
 	}
 }
 
 func (c *Conn) authenticateSCRAM() error {
 	client, err := scram.SHA256.NewClient(c.config.User, c.config.Password, "")
 	if err != nil {
-		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: errors.New("the proxy's password can't be prepared")}
+		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: errors.New("SASLprep rejects the proxy's user name or password")}
 	}
 	conversation := client.WithNonceGenerator(nonce).NewConversation()
 	first, err := conversation.Step("")
 	if err != nil {
 		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: err}
 	}
-	if err := c.sendNow(&pgproto3.SASLInitialResponse{AuthMechanism: "SCRAM-SHA-256", Data: []byte(first)}); err != nil {
+	if err := c.sendAndFlush(&pgproto3.SASLInitialResponse{AuthMechanism: "SCRAM-SHA-256", Data: []byte(first)}); err != nil {
 		return err
 	}
-	challenge, err := c.saslAnswer(pgproto3.AuthTypeSASLContinue)
+	challenge, err := c.readSASLMessage(pgproto3.AuthTypeSASLContinue)
 	if err != nil {
 		return err
 	}
@@ -400,19 +425,20 @@
 	if err != nil {
 		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: err}
 	}
-	if err := c.sendNow(&pgproto3.SASLResponse{Data: []byte(final)}); err != nil {
+	if err := c.sendAndFlush(&pgproto3.SASLResponse{Data: []byte(final)}); err != nil {
 		return err
 	}
-	verifier, err := c.saslAnswer(pgproto3.AuthTypeSASLFinal)
+	verifier, err := c.readSASLMessage(pgproto3.AuthTypeSASLFinal)
 	if err != nil {
 		return err
 	}
 	if _, err := conversation.Step(verifier); err != nil || !conversation.Valid() {
-		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: errors.New("the server didn't prove that it knows the password")}
+		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: errors.New("the server's SCRAM signature is invalid: it did not prove that it knows the password")}
 	}
 	return nil
 }
 
+// fail marks the connection as broken and returns err as an *Error.
 func (c *Conn) fail(op string, err error) error {
 	c.broken = true
 	var known *Error
@@ -422,17 +448,18 @@
 	return &Error{Op: op, Kind: KindConnection, Err: err}
 }
 
-// preparePeek sets up what Alive needs, so that it doesn't allocate.
+// preparePeek allocates the objects that Alive uses, so that Alive itself doesn't
+// allocate.
 func (c *Conn) preparePeek() {
 	raw, isSocket := c.net.(syscall.Conn)
 	if !isSocket {
 		return
 	}
-	peek, err := raw.SyscallConn()
+	rawConn, err := raw.SyscallConn()
 	if err != nil {
 		return
 	}
-	c.peek = peek
+	c.rawConn = rawConn
 	buffer := make([]byte, 1)
 	c.peekFunc = func(fd uintptr) bool {
 		_, _, c.peekErr = syscall.Recvfrom(int(fd), buffer, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -440,7 +467,8 @@
 	}
 }
 
-func (c *Conn) saslAnswer(want uint32) (string, error) {
+// readSASLMessage reads a SASL message of the expected type and returns its data.
+func (c *Conn) readSASLMessage(want uint32) (string, error) {
 	frame, err := c.Next()
 	if err != nil {
 		return "", err
@@ -453,12 +481,12 @@
 		return "", err
 	}
 	if frame.Type != 'R' || len(body) < 4 || binary.BigEndian.Uint32(body) != want {
-		return "", c.fail("authenticate", fmt.Errorf("unexpected message %q", frame.Type))
+		return "", c.fail("authenticate", fmt.Errorf("unexpected message of type %q during SCRAM authentication", frame.Type))
 	}
 	return string(body[4:]), nil
 }
 
-func (c *Conn) sendNow(message Encoder) error {
+func (c *Conn) sendAndFlush(message Encoder) error {
 	if err := c.SendMessage(message); err != nil {
 		return err
 	}
@@ -468,28 +496,31 @@
 	return nil
 }
 
+// serverError returns the current ErrorResponse message as an *Error of KindServer.
 func (c *Conn) serverError(op string) error {
 	body, err := c.Body()
 	if err != nil {
 		return err
 	}
-	var answer pgproto3.ErrorResponse
-	if err := answer.Decode(body); err != nil {
+	var response pgproto3.ErrorResponse
+	if err := response.Decode(body); err != nil {
 		return c.fail(op, err)
 	}
-	return &Error{Op: op, Kind: KindServer, Code: answer.Code, Err: fmt.Errorf("%s (SQLSTATE %s)", answer.Message, answer.Code)}
+	return &Error{Op: op, Kind: KindServer, Code: response.Code, Err: fmt.Errorf("%s (SQLSTATE %s)", response.Message, response.Code)}
 }
 
+// startUp sends the startup message, authenticates, and reads until the first
+// ReadyForQuery.
 func (c *Conn) startUp() error {
 	start := &pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{
 		"application_name": ApplicationName,
 		"database":         c.config.Database,
 		"user":             c.config.User,
 	}}
-	if err := c.sendNow(start); err != nil {
+	if err := c.sendAndFlush(start); err != nil {
 		return err
 	}
-	c.inFlight = 1
+	c.pendingReady = 1
 	for {
 		frame, err := c.Next()
 		if err != nil {
@@ -499,7 +530,7 @@
 		case 'E':
 			return c.serverError("connect")
 		case 'K':
-			err = c.trackKey()
+			err = c.readCancelKey()
 		case 'R':
 			err = c.authenticate()
 		case 'Z':
@@ -511,19 +542,22 @@
 	}
 }
 
-func (c *Conn) trackKey() error {
+// readCancelKey reads the current BackendKeyData message.
+func (c *Conn) readCancelKey() error {
 	body, err := c.Body()
 	if err != nil {
 		return err
 	}
 	if len(body) < 8 {
-		return c.fail("read", errors.New("short key data"))
+		return c.fail("read", errors.New("the BackendKeyData message is shorter than 8 bytes"))
 	}
 	c.pid = binary.BigEndian.Uint32(body)
-	c.secret = append([]byte(nil), body[4:]...)
+	c.cancelKey = append([]byte(nil), body[4:]...)
 	return nil
 }
 
+// trackParameter records the position if the current ParameterStatus message
+// reports it.
 func (c *Conn) trackParameter() error {
 	body, err := c.Body()
 	if err != nil {
@@ -536,18 +570,19 @@
 	if err != nil {
 		return c.fail("read", &Error{Op: "read", Kind: KindProtocol, Err: err})
 	}
-	c.position, c.moved = position, true
+	c.position, c.positionReported = position, true
 	return nil
 }
 
+// trackReady records the transaction state of the current ReadyForQuery message.
 func (c *Conn) trackReady() error {
 	body, err := c.Body()
 	if err != nil {
 		return err
 	}
-	c.inFlight--
-	if len(body) != 1 || c.inFlight < 0 {
-		return c.fail("read", &Error{Op: "read", Kind: KindProtocol, Err: errors.New("unexpected ReadyForQuery")})
+	c.pendingReady--
+	if len(body) != 1 || c.pendingReady < 0 {
+		return c.fail("read", &Error{Op: "read", Kind: KindProtocol, Err: errors.New("ReadyForQuery is malformed or no request is pending")})
 	}
 	c.txStatus = body[0]
 	c.unsynced = false
@@ -567,7 +602,7 @@
 	return config
 }
 
-// nonce returns a random nonce in printable form.
+// nonce returns a random nonce in base64.
 func nonce() string {
 	var raw [18]byte
 	_, _ = rand.Read(raw[:])
--- a/backend/control.go
+++ b/backend/control.go
@@ -1,4 +1,3 @@
-// Package backend speaks to backend servers as a PostgreSQL client.
 package backend
 
 import (
@@ -17,16 +16,17 @@
 	"github.com/nutmegpier/nutmegpier/group"
 )
 
-// ControlApplicationName is the application name by which a backend server
-// recognizes a control connection.
+// ControlApplicationName is the application name of control connections. Backend
+// servers recognize control connections by it.
 const ControlApplicationName = "nutmegpier-control"
 
 // Dial opens a connection to an address.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// ControlConfig says how to reach one backend server.
+// ControlConfig holds the settings of the control connections to one backend
+// server.
 type ControlConfig struct {
-	// Address is "ip:port" of the server.
+	// Address is the server's address in the form "ip:port".
 	Address string
 	// Database is the name of the database.
 	Database string
@@ -37,34 +37,34 @@
 	User     string
 }
 
-// Control is a group.Control over control connections to one backend server.
-// It connects when it is first used and again after a connection broke. Waits
-// and fences with a drain use connections of their own, so that they don't
-// hold up other calls. A fence without a drain uses the connection of the
-// status calls, which is open when a promotion is urgent.
+// Control implements group.Control over control connections to one backend server.
+// It connects on first use, and reconnects after a connection has failed.
 type Control struct {
-	calls  *controlConn
-	drains *controlConn
-	waits  *controlConn
+	// commands runs all other calls. It includes fences without a drain, because
+	// the connection is already open for status calls when a promotion is urgent.
+	commands *controlConn
+	// drainFences runs fences with a drain, which would block other calls.
+	drainFences *controlConn
+	// waits runs Wait, which would block other calls.
+	waits *controlConn
 }
 
 var _ group.Control = &Control{}
 
-// NewControl returns the control of one backend server. It opens no
-// connection yet.
+// NewControl returns the control of one backend server. It does not connect yet.
 func NewControl(config ControlConfig) (*Control, error) {
 	if config.Dial == nil {
-		return nil, &Error{Err: errors.New("no dial function"), Kind: KindConnection, Op: "new control"}
+		return nil, &Error{Err: errors.New("the dial function is missing"), Kind: KindConnection, Op: "new control"}
 	}
 	pg, err := controlPgConfig(config)
 	if err != nil {
 		return nil, &Error{Err: err, Kind: KindConnection, Op: "new control"}
 	}
-	return &Control{calls: newControlConn(pg), drains: newControlConn(pg), waits: newControlConn(pg)}, nil
+	return &Control{commands: newControlConn(pg), drainFences: newControlConn(pg), waits: newControlConn(pg)}, nil
 }
 
-// controlPgConfig returns the settings of the control connections. Nothing is
-// taken from the process environment.
+// controlPgConfig returns the pgconn configuration of the control connections. It
+// takes no settings from environment variables.
 func controlPgConfig(config ControlConfig) (*pgconn.Config, error) {
 	host, portText, err := net.SplitHostPort(config.Address)
 	if err != nil {
@@ -72,9 +72,10 @@
 	}
 	port, err := strconv.ParseUint(portText, 10, 16)
 	if err != nil {
-		return nil, fmt.Errorf("port of %q: %w", config.Address, err)
+		return nil, fmt.Errorf("parse port of address %q: %w", config.Address, err)
 	}
-	// ParseConfig is the only way to make a Config. All values are replaced.
+	// A Config can only be created by ParseConfig, which reads environment
+	// variables. All values are therefore replaced below.
 	pg, err := pgconn.ParseConfig("host=" + host + " sslmode=disable")
 	if err != nil {
 		return nil, err
@@ -93,21 +94,23 @@
 	return pg, nil
 }
 
-// Close closes the connections. A later call opens them again.
+// Close closes the connections. Later calls reopen them.
 func (c *Control) Close(ctx context.Context) {
-	c.calls.close(ctx)
-	c.drains.close(ctx)
+	c.commands.close(ctx)
+	c.drainFences.close(ctx)
 	c.waits.close(ctx)
 }
 
-// Fence asks the server to promise the term to the holder.
+// Fence asks the server to promise the term to the holder once its running write
+// transactions have finished or drain has passed. It reports whether the promise
+// was granted.
 func (c *Control) Fence(ctx context.Context, term fleet.Term, holder fleet.InstanceID, drain time.Duration) (bool, group.ServerStatus, error) {
 	sql := fmt.Sprintf("CALL group_fence(%d, %s, %d)", term, quoteLiteral(string(holder)), drain.Milliseconds())
-	conn := c.calls
+	conn := c.commands
 	if drain > 0 {
-		conn = c.drains
+		conn = c.drainFences
 	}
-	names, values, err := conn.row(ctx, "fence", sql)
+	names, values, err := conn.queryRow(ctx, "fence", sql)
 	if err != nil {
 		return false, group.ServerStatus{}, err
 	}
@@ -118,26 +121,25 @@
 	return granted, status, nil
 }
 
-// Promote makes the server the primary of a term that is promised to the holder.
+// Promote makes the server the primary of a term that it promised to the holder.
 func (c *Control) Promote(ctx context.Context, term fleet.Term, holder fleet.InstanceID) (group.ServerStatus, error) {
 	sql := fmt.Sprintf("CALL group_promote(%d, %s)", term, quoteLiteral(string(holder)))
-	return c.calls.status(ctx, "promote", sql)
+	return c.commands.status(ctx, "promote", sql)
 }
 
 // Status returns the server's current status.
 func (c *Control) Status(ctx context.Context) (group.ServerStatus, error) {
-	return c.calls.status(ctx, "status", "SHOW group_status")
+	return c.commands.status(ctx, "status", "SHOW group_status")
 }
 
-// Wait returns the status when the received log covers the position in its
-// term, when the promised term has passed the position's term, or after the
-// timeout.
+// Wait returns the status once the server has received the position in the
+// position's term, once it has promised a later term, or after the timeout.
 func (c *Control) Wait(ctx context.Context, position fleet.Position, timeout time.Duration) (group.ServerStatus, error) {
 	sql := fmt.Sprintf("CALL group_wait(%d, %d, %d)", position.Term, position.Log, timeout.Milliseconds())
 	return c.waits.status(ctx, "wait", sql)
 }
 
-// quoteLiteral returns the text as an SQL literal.
+// quoteLiteral returns the text as an SQL string literal.
 func quoteLiteral(text string) string {
 	return "'" + strings.ReplaceAll(text, "'", "''") + "'"
 }
@@ -145,20 +147,21 @@
 // controlConn is one control connection. It runs one call at a time.
 type controlConn struct {
 	config *pgconn.Config
-	conn   *pgconn.PgConn
-	// turn holds one token. Its holder uses the connection.
-	turn chan struct{}
+	// conn is nil until the first call and after a failed attempt to connect.
+	conn *pgconn.PgConn
+	// sem is a semaphore of capacity one that guards conn.
+	sem chan struct{}
 }
 
 func newControlConn(config *pgconn.Config) *controlConn {
-	return &controlConn{config: config, turn: make(chan struct{}, 1)}
+	return &controlConn{config: config, sem: make(chan struct{}, 1)}
 }
 
 func (c *controlConn) close(ctx context.Context) {
-	c.turn <- struct{}{}
-	defer func() { <-c.turn }()
+	c.sem <- struct{}{}
+	defer func() { <-c.sem }()
 	if c.conn != nil {
-		// The connection is not used again, whatever the error.
+		// The error is ignored, because the connection is not used again.
 		_ = c.conn.Close(ctx)
 		c.conn = nil
 	}
@@ -166,7 +169,7 @@
 
 // status runs a call that returns a status row.
 func (c *controlConn) status(ctx context.Context, op, sql string) (group.ServerStatus, error) {
-	names, values, err := c.row(ctx, op, sql)
+	names, values, err := c.queryRow(ctx, op, sql)
 	if err != nil {
 		return group.ServerStatus{}, err
 	}
@@ -177,20 +180,21 @@
 	return status, nil
 }
 
-// row runs a call that returns one row, and returns its names and values.
-func (c *controlConn) row(ctx context.Context, op, sql string) ([]string, []string, error) {
+// queryRow runs a call that returns one row, and returns its column names and
+// values.
+func (c *controlConn) queryRow(ctx context.Context, op, sql string) ([]string, []string, error) {
 	select {
-	case c.turn <- struct{}{}:
+	case c.sem <- struct{}{}:
 	case <-ctx.Done():
 		return nil, nil, &Error{Err: ctx.Err(), Kind: KindConnection, Op: op}
 	}
-	defer func() { <-c.turn }()
+	defer func() { <-c.sem }()
 	if err := c.connect(ctx); err != nil {
 		return nil, nil, &Error{Err: err, Kind: KindConnection, Op: op}
 	}
 	results, err := c.conn.Exec(ctx, sql).ReadAll()
 	if err != nil {
-		return nil, nil, &Error{Err: err, Kind: kindOf(err), Op: op}
+		return nil, nil, &Error{Err: err, Kind: errorKind(err), Op: op}
 	}
 	names, values, err := singleRow(results)
 	if err != nil {
@@ -199,7 +203,8 @@
 	return names, values, nil
 }
 
-// connect opens the connection if there is none or it broke.
+// connect opens the connection if there is none or it has failed. The caller holds
+// sem.
 func (c *controlConn) connect(ctx context.Context) error {
 	if c.conn != nil && !c.conn.IsClosed() {
 		return nil
@@ -213,7 +218,8 @@
 	return nil
 }
 
-func kindOf(err error) Kind {
+// errorKind tells an error response of the server from a failed connection.
+func errorKind(err error) Kind {
 	var pgErr *pgconn.PgError
 	if errors.As(err, &pgErr) {
 		return KindServer
@@ -221,10 +227,10 @@
 	return KindConnection
 }
 
-// singleRow returns the only row of the only result.
+// singleRow returns the column names and values of the only row of the only result.
 func singleRow(results []*pgconn.Result) (names, values []string, err error) {
 	if len(results) != 1 || len(results[0].Rows) != 1 {
-		return nil, nil, errors.New("want one result with one row")
+		return nil, nil, errors.New("the response is not one result with one row")
 	}
 	for i, field := range results[0].FieldDescriptions {
 		if results[0].Rows[0][i] == nil {
@@ -236,16 +242,16 @@
 	return names, values, nil
 }
 
-// grantedColumn is the first column of the answer to a fence call.
+// grantedColumn is the first column of the row that a fence call returns.
 const grantedColumn = "granted"
 
 // parseFenceRow parses the row of a fence call.
 func parseFenceRow(names, values []string) (bool, group.ServerStatus, error) {
 	if len(names) == 0 || len(values) != len(names) || names[0] != grantedColumn {
-		return false, group.ServerStatus{}, errors.New("the first column is not granted")
+		return false, group.ServerStatus{}, errors.New(`the first column of the row is not "granted"`)
 	}
 	if values[0] != "t" && values[0] != "f" {
-		return false, group.ServerStatus{}, fmt.Errorf("column granted: want t or f, got %q", values[0])
+		return false, group.ServerStatus{}, fmt.Errorf(`column "granted" has the value %q, want t or f`, values[0])
 	}
 	status, err := ParseStatusRow(names[1:], values[1:])
 	return values[0] == "t", status, err
@@ -274,8 +280,8 @@
 	statusConnectionLimit
 )
 
-// ParseStatusRow parses the names and values of a status row. Each column must
-// be there, in order.
+// ParseStatusRow parses the column names and values of a status row. All columns
+// must be present, in order.
 func ParseStatusRow(names, values []string) (group.ServerStatus, error) {
 	if len(names) != len(statusColumns) || len(values) != len(names) {
 		return group.ServerStatus{}, fmt.Errorf("status row has %d columns and %d values, want %d", len(names), len(values), len(statusColumns))
@@ -305,11 +311,11 @@
 	return status, checkStatus(status)
 }
 
-// checkStatus reports contradictions inside a status.
+// checkStatus checks that the fields of a status are consistent.
 func checkStatus(s group.ServerStatus) error {
 	switch {
 	case s.Server == "":
-		return errors.New("status without a server id")
+		return errors.New("the status contains no server ID")
 	case s.Applied.Log > s.Log.Log:
 		return fmt.Errorf("applied position %v is beyond the log end %v", s.Applied, s.Log)
 	case s.History.LastTerm() != s.Log.Term:
@@ -338,13 +344,13 @@
 	return history
 }
 
-func (p *statusParser) number(column int, largest uint64) uint64 {
+func (p *statusParser) number(column int, maximum uint64) uint64 {
 	n, err := strconv.ParseUint(p.values[column], 10, 64)
 	switch {
 	case err != nil:
 		p.fail(column, "%w", err)
-	case n > largest:
-		p.fail(column, "%d is larger than %d", n, largest)
+	case n > maximum:
+		p.fail(column, "%d exceeds the maximum of %d", n, maximum)
 	}
 	return n
 }
--- a/backend/control_test.go
+++ b/backend/control_test.go
@@ -17,6 +17,7 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
+// newControls starts a group of simulated servers and returns a control for each.
 func newControls(t *testing.T) (context.Context, *standin.Group, []*backend.Control) {
 	t.Helper()
 	g, err := standin.NewGroup(standin.Options{Authentication: standin.AuthenticationSCRAM, Password: "secret", User: "proxy"})
@@ -44,8 +45,8 @@
 	return ctx, g, controls
 }
 
-// TestControl guards against calls whose arguments or answers differ between
-// the two sides of the control connection.
+// TestControl guards against calls whose arguments or results differ between the
+// two sides of the control connection.
 func TestControl(t *testing.T) {
 	ctx, g, controls := newControls(t)
 	got, err := controls[0].Status(ctx)
@@ -68,7 +69,7 @@
 		}
 	}
 	if granted, _, err := controls[1].Fence(ctx, 2, "b", 0); err != nil || granted {
-		t.Errorf("Fence() of a promised term = %v, %v, want a refusal", granted, err)
+		t.Errorf("Fence() of a term promised to another holder = %v, %v, want a refusal", granted, err)
 	}
 	_, err = controls[1].Promote(ctx, 2, "b")
 	var backendErr *backend.Error
@@ -83,15 +84,15 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(fleet.Position{Log: 2, Term: 2}, status.Log); diff != "" {
-		t.Errorf("log end after the wait (-want +got):\n%s", diff)
+		t.Errorf("end of the log after Wait() (-want +got):\n%s", diff)
 	}
 	if err := g.WaitApplied(ctx); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestControlReconnects guards against a control that stays broken after its
-// server crashed, and against a wait that holds up a status call.
+// TestControlReconnects guards against a control that does not reconnect after its
+// server has crashed, and against a wait that blocks a status call.
 func TestControlReconnects(t *testing.T) {
 	ctx, g, controls := newControls(t)
 	waitCtx, cancel := context.WithCancel(ctx)
@@ -105,7 +106,7 @@
 	}
 	cancel()
 	if err := <-waited; err == nil {
-		t.Error("a canceled wait succeeded")
+		t.Error("Wait() succeeded although it was cancelled")
 	}
 	g.Servers()[0].Crash()
 	var backendErr *backend.Error
@@ -118,8 +119,8 @@
 	}
 }
 
-// TestControlDrain guards against a drain that holds up status calls, so that
-// its server counts as silent.
+// TestControlDrain guards against a drain that blocks status calls, so that its
+// server counts as unresponsive.
 func TestControlDrain(t *testing.T) {
 	ctx, g, controls := newControls(t)
 	primary := g.Servers()[0]
@@ -143,8 +144,8 @@
 		ok, _, _ := controls[0].Fence(ctx, 2, "a", time.Hour)
 		granted <- ok
 	}()
-	// The refusal shows that the drain has begun. Until then the write waits
-	// for the open one.
+	// The refusal shows that the drain has begun. Until then this write waits for the
+	// open transaction.
 	if _, err := conns[1].Exec(ctx, "INSERT INTO tabs VALUES ('refused')").ReadAll(); err == nil {
 		t.Error("a write during the drain succeeded")
 	}
@@ -164,8 +165,8 @@
 const statusNames = "server role term promised_term promised_to log_term log_position applied_term applied_position " +
 	"primary_contact_ms history connections connection_limit"
 
-// FuzzParseStatusRow guards against a malformed row that crashes the parser or
-// is read as a status whose parts contradict each other.
+// FuzzParseStatusRow guards against a malformed row that crashes the parser or is
+// accepted as an inconsistent status.
 func FuzzParseStatusRow(f *testing.F) {
 	f.Add("s1|Primary|2|2|a|2|11|2|11|0|1:1,2:10|3|20")
 	f.Add("s1|Replica|2|3||1|9|1|8|950|1:1|0|0")
@@ -179,12 +180,13 @@
 			return
 		}
 		if status.Applied.Log > status.Log.Log || status.PrimaryContact < 0 || status.Connections < 0 || status.Server == "" {
-			t.Errorf("accepted %+v", status)
+			t.Errorf("accepted the inconsistent status %+v", status)
 		}
 	})
 }
 
-// TestParseStatusRowErrors guards against error texts that don't name the column.
+// TestParseStatusRowErrors guards against error messages that don't tell which part
+// of the row is wrong.
 func TestParseStatusRowErrors(t *testing.T) {
 	for _, tc := range []struct{ row, want string }{
 		{"s1|Primary|2|2|a|2|11|2|11|0|1:1,2:10|3", "status row has 13 columns and 12 values, want 13"},
--- a/backend/error.go
+++ b/backend/error.go
@@ -1,5 +1,6 @@
-// Package backend speaks to backend servers as a PostgreSQL client. It holds
-// the session connections, their pool and the control connection.
+// Package backend implements the PostgreSQL client side of the proxy: the session
+// connections to backend servers, the pool of these connections, and the control
+// connections.
 package backend
 
 import "fmt"
@@ -9,29 +10,35 @@
 
 // Kinds of errors.
 const (
-	// KindAuthentication means that the server refused the proxy's credentials.
+	// KindAuthentication means that authentication failed on this side: the server
+	// requested an unsupported method or failed its part of SCRAM. Credentials that
+	// the server refuses are a KindServer error.
 	KindAuthentication Kind = "Authentication"
-	// KindClosed means that the pool or the connection is closed.
+	// KindClosed means that a new connection was closed at once, because the server
+	// was drained or its address changed while the connection was being opened.
 	KindClosed Kind = "Closed"
 	// KindConnection means that the connection failed.
 	KindConnection Kind = "Connection"
-	// KindDeadline means that a request waited until its deadline.
+	// KindDeadline means that a request got no connection before its deadline, or
+	// was cancelled while it waited.
 	KindDeadline Kind = "Deadline"
-	// KindProtocol means that the peer broke the protocol.
+	// KindProtocol means that the peer violated the protocol.
 	KindProtocol Kind = "Protocol"
-	// KindQueueFull means that too many requests wait for the server.
+	// KindQueueFull means that too many requests of the workspace wait for the
+	// server.
 	KindQueueFull Kind = "QueueFull"
-	// KindServer means that the server answered with an error.
+	// KindServer means that the server responded with an error.
 	KindServer Kind = "Server"
-	// KindUnavailable means that the server takes no new work.
+	// KindUnavailable means that the server is unknown, draining or can't be
+	// reached.
 	KindUnavailable Kind = "Unavailable"
 )
 
 // Error is the error type of this package.
 type Error struct {
-	// Code is the SQLSTATE of a server's answer, or empty.
+	// Code is the SQLSTATE of an error response, or empty.
 	Code string
-	// Err is the cause.
+	// Err is the cause. It may be nil.
 	Err error
 	// Kind classifies the error.
 	Kind Kind
--- a/backend/frame.go
+++ b/backend/frame.go
@@ -6,11 +6,11 @@
 	"io"
 )
 
-// frameHeaderSize is the size of a message header: one type byte and a length
-// of four bytes that counts itself.
+// frameHeaderSize is the size of a message header: one type byte, and a length of
+// four bytes that includes itself.
 const frameHeaderSize = 5
 
-// Frame is the header of one protocol message. Size counts the body only.
+// Frame is the header of one protocol message. Size is the size of the body.
 type Frame struct {
 	Size int
 	Type byte
@@ -19,31 +19,34 @@
 // FrameReader reads protocol messages without decoding them. It isn't safe for
 // concurrent use.
 type FrameReader struct {
-	buf     []byte
-	end     int
-	frame   Frame
-	initial int
-	left    int
-	maxBody int
-	source  io.Reader
-	start   int
-}
-
-// NewFrameReader returns a reader with a buffer of the given size in bytes.
-// Messages whose body is larger than maxBody are an error of KindProtocol.
+	// buf[start:end] is the buffered data.
+	buf   []byte
+	end   int
+	frame Frame
+	// initialSize is the size to which shrink reduces the buffer.
+	initialSize int
+	// remaining is the size of the unread rest of the current body.
+	remaining int
+	maxBody   int
+	source    io.Reader
+	start     int
+}
+
+// NewFrameReader returns a reader with a buffer of the given size in bytes. A
+// message whose body is larger than maxBody bytes causes an error of KindProtocol.
 func NewFrameReader(source io.Reader, size, maxBody int) *FrameReader {
-	return &FrameReader{buf: make([]byte, max(size, frameHeaderSize)), initial: size, maxBody: maxBody, source: source}
+	return &FrameReader{buf: make([]byte, max(size, frameHeaderSize)), initialSize: size, maxBody: maxBody, source: source}
 }
 
-// Body returns the unread rest of the current message's body. The bytes are
-// valid until the next call.
+// Body returns the unread rest of the current message's body. The slice is valid
+// until the next call.
 func (r *FrameReader) Body() ([]byte, error) {
-	if err := r.fill(r.left); err != nil {
+	if err := r.fill(r.remaining); err != nil {
 		return nil, err
 	}
-	body := r.buf[r.start : r.start+r.left]
-	r.start += r.left
-	r.left = 0
+	body := r.buf[r.start : r.start+r.remaining]
+	r.start += r.remaining
+	r.remaining = 0
 	return body, nil
 }
 
@@ -52,30 +55,30 @@
 	return r.end - r.start
 }
 
-// CopyTo writes the current message to w and consumes it. The body is copied
-// in pieces, so its size isn't bounded by the buffer.
+// CopyTo writes the current message to w and consumes it. The body is copied in
+// chunks, so it can be larger than the buffer.
 func (r *FrameReader) CopyTo(w *FrameWriter) error {
 	var header [frameHeaderSize]byte
 	putHeader(header[:], r.frame)
 	if err := w.Raw(header[:]); err != nil {
 		return err
 	}
-	for r.left > 0 {
-		piece, err := r.piece()
+	for r.remaining > 0 {
+		chunk, err := r.chunk()
 		if err != nil {
 			return err
 		}
-		if err := w.Raw(piece); err != nil {
+		if err := w.Raw(chunk); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Next skips what is left of the current message and reads the next header.
+// Next skips the rest of the current message and reads the next header.
 func (r *FrameReader) Next() (Frame, error) {
-	for r.left > 0 {
-		if _, err := r.piece(); err != nil {
+	for r.remaining > 0 {
+		if _, err := r.chunk(); err != nil {
 			return Frame{}, err
 		}
 	}
@@ -86,15 +89,15 @@
 	header := r.buf[r.start : r.start+frameHeaderSize]
 	size := int(int32(binary.BigEndian.Uint32(header[1:]))) - 4
 	if size < 0 || size > r.maxBody {
-		return Frame{}, &Error{Op: "read message", Kind: KindProtocol, Err: fmt.Errorf("message of type %q has size %d, limit %d", header[0], size, r.maxBody)}
+		return Frame{}, &Error{Op: "read message", Kind: KindProtocol, Err: fmt.Errorf("message of type %q has a body size of %d bytes, which is negative or above the limit of %d bytes", header[0], size, r.maxBody)}
 	}
 	r.frame = Frame{Size: size, Type: header[0]}
 	r.start += frameHeaderSize
-	r.left = size
+	r.remaining = size
 	return r.frame, nil
 }
 
-// fill reads until n bytes are buffered.
+// fill reads until at least n bytes are buffered.
 func (r *FrameReader) fill(n int) error {
 	if r.Buffered() >= n {
 		return nil
@@ -103,44 +106,44 @@
 		r.start, r.end = 0, 0
 	}
 	if r.start+n > len(r.buf) {
-		r.makeRoom(n)
+		r.reserve(n)
 	}
 	read, err := io.ReadAtLeast(r.source, r.buf[r.end:], n-r.Buffered())
 	r.end += read
 	return err
 }
 
-// makeRoom moves the buffered bytes to the front of a buffer of at least n bytes.
-func (r *FrameReader) makeRoom(n int) {
-	target := r.buf
-	if n > len(target) {
-		target = make([]byte, n)
+// reserve moves the buffered data to the start of a buffer of at least n bytes.
+func (r *FrameReader) reserve(n int) {
+	buffer := r.buf
+	if n > len(buffer) {
+		buffer = make([]byte, n)
 	}
-	r.end = copy(target, r.buf[r.start:r.end])
+	r.end = copy(buffer, r.buf[r.start:r.end])
 	r.start = 0
-	r.buf = target
+	r.buf = buffer
 }
 
-// piece consumes what is buffered of the current body, and reads first if
-// nothing is.
-func (r *FrameReader) piece() ([]byte, error) {
+// chunk consumes and returns the buffered part of the current body. If nothing is
+// buffered, it reads first.
+func (r *FrameReader) chunk() ([]byte, error) {
 	if r.Buffered() == 0 {
 		r.start, r.end = 0, 0
 		if err := r.fill(1); err != nil {
 			return nil, unexpectedEOF(err)
 		}
 	}
-	n := min(r.left, r.Buffered())
-	piece := r.buf[r.start : r.start+n]
+	n := min(r.remaining, r.Buffered())
+	chunk := r.buf[r.start : r.start+n]
 	r.start += n
-	r.left -= n
-	return piece, nil
+	r.remaining -= n
+	return chunk, nil
 }
 
-// shrink gives back a buffer that grew for one large message.
+// shrink replaces an empty buffer that has grown for a large message.
 func (r *FrameReader) shrink() {
-	if len(r.buf) > 4*max(r.initial, frameHeaderSize) && r.Buffered() == 0 {
-		r.buf = make([]byte, max(r.initial, frameHeaderSize))
+	if len(r.buf) > 4*max(r.initialSize, frameHeaderSize) && r.Buffered() == 0 {
+		r.buf = make([]byte, max(r.initialSize, frameHeaderSize))
 		r.start, r.end = 0, 0
 	}
 }
@@ -150,10 +153,10 @@
 type FrameWriter struct {
 	buf         []byte
 	destination io.Writer
-	failed      error
+	writeErr    error
 	flushed     bool
-	// grows makes Raw keep all bytes until Flush.
-	grows bool
+	// unbounded makes Raw grow the buffer instead of flushing it when it is full.
+	unbounded bool
 }
 
 // NewFrameWriter returns a writer with a buffer of the given size in bytes.
@@ -161,12 +164,13 @@
 	return &FrameWriter{buf: make([]byte, 0, max(size, frameHeaderSize)), destination: destination}
 }
 
-// Encoder is a message that appends its own encoding, as those of pgproto3 do.
+// Encoder is a message that can append its encoding to a buffer, such as the
+// messages of pgproto3.
 type Encoder interface {
 	Encode(dst []byte) ([]byte, error)
 }
 
-// Flush writes the buffered bytes.
+// Flush writes the buffered data to the destination.
 func (w *FrameWriter) Flush() error {
 	if len(w.buf) == 0 {
 		return nil
@@ -175,22 +179,22 @@
 	_, err := w.destination.Write(w.buf)
 	w.buf = w.buf[:0]
 	if err != nil {
-		w.failed = err
+		w.writeErr = err
 	}
 	return err
 }
 
-// Failed returns the error of the destination, if there was one.
+// Err returns the last write error of the destination, or nil.
 func (w *FrameWriter) Err() error {
-	return w.failed
+	return w.writeErr
 }
 
-// Flushed reports whether bytes were passed to the destination since Reset.
+// Flushed reports whether data was written to the destination since Reset.
 func (w *FrameWriter) Flushed() bool {
 	return w.flushed
 }
 
-// Message appends an encoded message.
+// Message appends an encoded message to the buffer.
 func (w *FrameWriter) Message(message Encoder) error {
 	encoded, err := message.Encode(w.buf)
 	if err != nil {
@@ -200,9 +204,9 @@
 	return nil
 }
 
-// Raw appends bytes and flushes as often as the buffer is full.
+// Raw appends bytes to the buffer, and flushes it whenever it is full.
 func (w *FrameWriter) Raw(p []byte) error {
-	if w.grows {
+	if w.unbounded {
 		w.buf = append(w.buf, p...)
 		return nil
 	}
@@ -220,27 +224,31 @@
 	return nil
 }
 
-// take returns the buffered bytes and leaves an empty buffer of the given size.
-func (w *FrameWriter) take(size int) []byte {
+// detach returns the buffered data and replaces the buffer by an empty one of the
+// given size.
+func (w *FrameWriter) detach(size int) []byte {
 	taken := w.buf
 	w.buf = make([]byte, 0, size)
-	w.grows = false
+	w.unbounded = false
 	return taken
 }
 
-// Reset drops buffered bytes and sets another destination.
+// Reset discards the buffered data and sets another destination.
 func (w *FrameWriter) Reset(destination io.Writer) {
 	w.buf = w.buf[:0]
 	w.destination = destination
-	w.failed = nil
+	w.writeErr = nil
 	w.flushed = false
 }
 
+// putHeader encodes a message header.
 func putHeader(dst []byte, frame Frame) {
 	dst[0] = frame.Type
 	binary.BigEndian.PutUint32(dst[1:], uint32(frame.Size+4))
 }
 
+// unexpectedEOF replaces an EOF in the middle of a message by
+// io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/backend/frame_test.go
+++ b/backend/frame_test.go
@@ -10,21 +10,21 @@
 	"github.com/nutmegpier/nutmegpier/backend"
 )
 
-// FuzzFrameReader guards against messages that are changed by copying, however
-// the bytes arrive, and against sizes that crash the reader.
+// FuzzFrameReader guards against messages that are changed by copying, even if their
+// bytes arrive one by one, and against message sizes that crash the reader.
 func FuzzFrameReader(f *testing.F) {
 	for _, seed := range []string{"", "Z\x00\x00\x00\x05I", "D\x00\x00\x00\x04C\x00\x00\x00\x06ab", "E\x00\x00\x00\x03", "E\xff\xff\xff\xff", "D\x00\x00\x00\x20short"} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, input []byte) {
 		var want []byte
-		whole := backend.NewFrameReader(bytes.NewReader(input), 16, 1000)
+		wholeReader := backend.NewFrameReader(bytes.NewReader(input), 16, 1000)
 		for {
-			frame, err := whole.Next()
+			frame, err := wholeReader.Next()
 			if err != nil {
 				break
 			}
-			body, err := whole.Body()
+			body, err := wholeReader.Body()
 			if err != nil {
 				break
 			}
@@ -34,12 +34,12 @@
 		}
 		var got bytes.Buffer
 		w := backend.NewFrameWriter(&got, 8)
-		copied := backend.NewFrameReader(iotest.OneByteReader(bytes.NewReader(input)), 16, 1000)
+		oneByteReader := backend.NewFrameReader(iotest.OneByteReader(bytes.NewReader(input)), 16, 1000)
 		for {
-			if _, err := copied.Next(); err != nil {
+			if _, err := oneByteReader.Next(); err != nil {
 				break
 			}
-			if err := copied.CopyTo(w); err != nil {
+			if err := oneByteReader.CopyTo(w); err != nil {
 				break
 			}
 		}
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -18,40 +18,43 @@
 
 // PoolConfig holds the dependencies and settings of a Pool.
 type PoolConfig struct {
-	// Connect opens a connection to a server. It must honour ctx.
+	// Connect opens a connection to a server. It must return when ctx is cancelled.
 	Connect func(ctx context.Context, server fleet.ServerID, address string) (*Conn, error)
-	// MaxOpening bounds the concurrent openings for each server. Zero means 2.
+	// MaxOpening is the maximum number of connections to each server that are
+	// opened concurrently. Zero means 2.
 	MaxOpening int
-	// Now returns the time. Nil means time.Now.
+	// Now returns the current time. Nil means time.Now.
 	Now func() time.Time
-	// QueueLimit bounds the waiting requests of a workspace for each server.
-	// Zero means 1024.
+	// QueueLimit is the maximum number of waiting requests of a workspace for each
+	// server. Zero means 1024.
 	QueueLimit int
-	// Starved is told when requests wait for a permit. It must not block or
-	// call the pool. Nil means nobody is told.
+	// OnStarved is called when the permits for a server don't suffice for the
+	// waiting requests or the minimum number of connections. It must not block or
+	// call the pool. It may be nil.
 	OnStarved func(server fleet.ServerID)
 }
 
-// PoolRequest asks a Pool for a connection.
+// PoolRequest is a request for a connection from a Pool.
 type PoolRequest struct {
 	// ArrivedAt is when the request arrived from the caller.
 	ArrivedAt time.Time
-	// Deadline is when the request is refused.
+	// Deadline is when the request is refused if it is still waiting.
 	Deadline time.Time
-	// Primary says that the server was chosen as primary. The lease repeats it.
+	// Primary means that the server was chosen as the primary of its group. It is
+	// passed on to the lease.
 	Primary bool
-	// Priority orders the waiting requests of the workspace; zero goes first.
+	// Priority orders the waiting requests of the workspace. Zero is the highest.
 	Priority int
 	// Server is the server to connect to.
 	Server fleet.ServerID
-	// Weight is the share of the workspace in the queue.
+	// Weight is the relative share of the workspace in the fair queue.
 	Weight int
 	// Workspace is the workspace of the caller.
 	Workspace fleet.WorkspaceID
 }
 
-// Pool holds the session connections to all backend servers. The decisions are
-// those of PoolState.
+// Pool manages the session connections to all backend servers. PoolState makes the
+// decisions, and Pool does the I/O. It is safe for concurrent use.
 type Pool struct {
 	cancel  context.CancelFunc
 	config  PoolConfig
@@ -60,33 +63,37 @@
 	servers map[fleet.ServerID]*poolServer
 }
 
-// poolServer holds the connections of one server. The pool's mu guards it.
+// poolServer holds the connections to one server. The pool's mu guards it.
 type poolServer struct {
 	address string
 	id      fleet.ServerID
-	idle    []*Conn
-	// inUse holds the leases that were not released.
-	inUse   map[*PoolLease]struct{}
+	// idle holds the idle connections, the most recently used one last.
+	idle []*Conn
+	// inUse holds the leases that have not been released.
+	inUse map[*PoolLease]struct{}
+	// lastErr is the result of the last attempt to connect.
 	lastErr error
-	next    WaiterID
-	retry   *time.Timer
-	state   *PoolState
-	waiters map[WaiterID]*waiter
+	// lastWaiter is the last waiter ID that was assigned.
+	lastWaiter WaiterID
+	// retryTimer ends the backoff after a failed attempt to connect.
+	retryTimer *time.Timer
+	state      *PoolState
+	waiters    map[WaiterID]*waiter
 }
 
-// waiter is a request that waits. Its channel gets one grant.
+// waiter is a waiting request. Its channel receives at most one grant.
 type waiter struct {
 	granted chan grant
 	request PoolRequest
 }
 
-// grant is what a waiter gets.
+// grant is the result of a waiting request: a lease or an error.
 type grant struct {
 	err   error
 	lease *PoolLease
 }
 
-// PoolLease is the use of one connection of a Pool.
+// PoolLease is the exclusive use of one connection of a Pool until it is released.
 type PoolLease struct {
 	conn     *Conn
 	pool     *Pool
@@ -110,8 +117,8 @@
 	return &Pool{cancel: cancel, config: config, ctx: ctx, servers: make(map[fleet.ServerID]*poolServer)}
 }
 
-// Acquire waits for a connection until the request's deadline. Errors are of
-// type *Error; all mean that nothing ran.
+// Acquire waits for a connection until the request's deadline. Errors are of type
+// *Error, and all of them mean that nothing was sent to the server.
 func (p *Pool) Acquire(ctx context.Context, now time.Time, request PoolRequest) (*PoolLease, error) {
 	for {
 		lease, err := p.acquire(ctx, now, request)
@@ -122,13 +129,14 @@
 	}
 }
 
-// acquire waits for a connection, which the server may have closed meanwhile.
+// acquire waits for a connection. The server may have closed the connection while
+// it was idle.
 func (p *Pool) acquire(ctx context.Context, now time.Time, request PoolRequest) (*PoolLease, error) {
 	p.mu.Lock()
 	s := p.servers[request.Server]
 	if s == nil || s.state.Draining() {
 		p.mu.Unlock()
-		return nil, &Error{Op: "acquire", Kind: KindUnavailable, Err: errors.New("the server takes no new work")}
+		return nil, &Error{Op: "acquire", Kind: KindUnavailable, Err: errors.New("the server is unknown or draining")}
 	}
 	if s.state.TryGrant() {
 		lease := p.lease(s, request.Primary)
@@ -136,12 +144,12 @@
 		return lease, nil
 	}
 	counts := s.state.Counts()
-	if counts.total() == 0 && now.Before(s.state.RetryAt()) {
+	if counts.usedPermits() == 0 && now.Before(s.state.RetryAt()) {
 		p.mu.Unlock()
-		return nil, &Error{Op: "acquire", Kind: KindUnavailable, Err: errors.New("the server can't be reached")}
+		return nil, &Error{Op: "acquire", Kind: KindUnavailable, Err: errors.New("the last attempt to connect to the server failed, and the backoff has not ended yet")}
 	}
-	s.next++
-	id := s.next
+	s.lastWaiter++
+	id := s.lastWaiter
 	w := &waiter{granted: make(chan grant, 1), request: request}
 	s.waiters[id] = w
 	actions, queued := s.state.Enqueue(now, workspace.Entry[WaiterID]{
@@ -157,9 +165,9 @@
 	return p.await(ctx, now, s, id, w)
 }
 
-// Abort closes the connections to a server that are in use, and returns their
-// number. It is for a server that can't answer any more, so that its requests
-// end before the answer timeout.
+// CloseInUse closes the connections to a server that are in use, and returns their
+// number. It is meant for a server that can't respond any more, so that requests to
+// it fail before AnswerTimeout has passed.
 func (p *Pool) CloseInUse(server fleet.ServerID) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,7 +181,7 @@
 	return len(s.inUse)
 }
 
-// Close closes all idle connections and refuses further requests.
+// Close closes all idle connections and refuses waiting and further requests.
 func (p *Pool) Close() {
 	p.cancel()
 	p.mu.Lock()
@@ -183,7 +191,7 @@
 	}
 }
 
-// Counts returns the numbers of connections to a server.
+// Counts returns the numbers of connections to and waiting requests for a server.
 func (p *Pool) Counts(server fleet.ServerID) Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,7 +201,8 @@
 	return Counts{}
 }
 
-// Drain stops new work for a server. SetServer ends the drain.
+// Drain refuses waiting and further requests for a server, and closes its
+// connections as they become idle. SetServer ends the drain.
 func (p *Pool) Drain(server fleet.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,8 +211,9 @@
 	}
 }
 
-// ReleasePermit gives up one permit for a server, and reports false if all are in
-// use. The connection that used it is closed when ReleasePermit returns.
+// ReleasePermit gives up one permit for a server. It reports false if all permits
+// are in use. If an idle connection used the permit, it has been closed when
+// ReleasePermit returns.
 func (p *Pool) ReleasePermit(server fleet.ServerID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -211,13 +221,13 @@
 	if s == nil {
 		return false
 	}
-	actions, given := s.state.ReleasePermit(p.config.Now())
+	actions, released := s.state.ReleasePermit(p.config.Now())
 	p.perform(s, actions)
-	return given
+	return released
 }
 
-// Held returns the number of permits in effect for a server. It is above the
-// limit while connections over a lowered limit are still in use.
+// HeldPermits returns the number of permits in effect for a server. It is above the
+// limit while connections that exceed a lowered limit are still in use.
 func (p *Pool) HeldPermits(server fleet.ServerID) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,8 +237,9 @@
 	return 0
 }
 
-// SetServer adds a server or changes its limits. A changed address closes the
-// idle connections; those in use are closed when they are released.
+// SetServer adds a server or changes its address and limits, and ends a drain. If
+// the address changes, idle connections are closed, and connections in use are
+// closed when they are released.
 func (p *Pool) SetServer(server fleet.ServerID, address string, limits Limits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -245,7 +256,8 @@
 	p.perform(s, s.state.SetLimits(p.config.Now(), limits))
 }
 
-// Warm keeps at least n connections to a server open, within its permits.
+// SetMinConnections keeps at least n connections to a server open, as far as its
+// permits allow.
 func (p *Pool) SetMinConnections(server fleet.ServerID, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -254,18 +266,19 @@
 	}
 }
 
-// Conn returns the connection.
+// Conn returns the leased connection.
 func (l *PoolLease) Conn() *Conn {
 	return l.conn
 }
 
-// Primary reports whether the server was chosen as primary.
+// Primary reports whether the server was chosen as the primary of its group.
 func (l *PoolLease) Primary() bool {
 	return l.primary
 }
 
-// Release gives the connection back. It is closed if it isn't healthy, or not
-// in a state in which another request can use it. Repeating it has no effect.
+// Release returns the connection to the pool. The connection is closed if it isn't
+// healthy or not reusable, or if the pool no longer needs it. Further calls have no
+// effect.
 func (l *PoolLease) Release(healthy bool) {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
@@ -283,12 +296,13 @@
 	l.pool.perform(l.server, l.server.state.Release(l.pool.config.Now(), healthy))
 }
 
-// Server returns the id of the server.
+// Server returns the ID of the server.
 func (l *PoolLease) Server() fleet.ServerID {
 	return l.server.id
 }
 
-// await waits for the grant of a queued request.
+// await waits for the grant of a queued request, its deadline or the cancellation
+// of ctx.
 func (p *Pool) await(ctx context.Context, now time.Time, s *poolServer, id WaiterID, w *waiter) (*PoolLease, error) {
 	timer := time.NewTimer(w.request.Deadline.Sub(now))
 	defer timer.Stop()
@@ -303,15 +317,16 @@
 	abandoned := s.state.Abandon(id)
 	p.mu.Unlock()
 	if !abandoned {
-		// The grant came first, so it is in the channel.
+		// The request was granted or refused meanwhile, so the grant is in the
+		// channel.
 		g := <-w.granted
 		return g.lease, g.err
 	}
 	return nil, &Error{Op: "acquire", Kind: KindDeadline, Err: ctx.Err()}
 }
 
-// lease takes the idle connection that was used last, so that the others can
-// be given up. The caller holds mu and has told the state.
+// lease leases the most recently used idle connection, so that the others stay
+// idle and can be closed. The caller holds mu and has updated the state.
 func (p *Pool) lease(s *poolServer, primary bool) *PoolLease {
 	last := len(s.idle) - 1
 	conn := s.idle[last]
@@ -322,7 +337,7 @@
 	return lease
 }
 
-// open opens one connection for an ActionOpen.
+// open opens one connection, as requested by an ActionOpen.
 func (p *Pool) open(s *poolServer, address string) {
 	conn, err := p.config.Connect(p.ctx, s.id, address)
 	p.mu.Lock()
@@ -341,7 +356,7 @@
 	}
 }
 
-// perform does what the state asks for. The caller holds mu.
+// perform performs the actions that the state has returned. The caller holds mu.
 func (p *Pool) perform(s *poolServer, actions []Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -366,12 +381,13 @@
 	}
 }
 
-// retryLater tries openings again when the backoff has passed. The caller holds mu.
+// retryLater makes the state open connections again once the backoff has passed.
+// The caller holds mu.
 func (p *Pool) retryLater(s *poolServer) {
-	if s.retry != nil {
-		s.retry.Stop()
+	if s.retryTimer != nil {
+		s.retryTimer.Stop()
 	}
-	s.retry = time.AfterFunc(s.state.RetryAt().Sub(p.config.Now()), func() {
+	s.retryTimer = time.AfterFunc(s.state.RetryAt().Sub(p.config.Now()), func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.ctx.Err() == nil {
@@ -380,7 +396,8 @@
 	})
 }
 
-// resolve answers a waiter.
+// resolve sends the result to a waiter and removes it. The caller holds the pool's
+// mu.
 func (s *poolServer) resolve(id WaiterID, g grant) {
 	w := s.waiters[id]
 	delete(s.waiters, id)
--- a/backend/pool_race_test.go
+++ b/backend/pool_race_test.go
@@ -10,17 +10,18 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// TestPoolConcurrentUse guards against data races between requests, permits
-// and drains of one pool, in real time, and against a connection that is in
-// use twice. The tests in virtual time run without the race detector.
+// TestPoolConcurrentUse guards against data races between requests, changes of
+// permits and drains of one pool, and against a connection that is leased twice at a
+// time. It runs in real time, because the tests in virtual time run without the race
+// detector.
 func TestPoolConcurrentUse(t *testing.T) {
-	s := &script{reply: done}
+	s := &scriptedServer{respond: replyOK}
 	pool := backend.NewPool(backend.PoolConfig{Connect: s.connect, OnStarved: func(fleet.ServerID) {}})
 	defer pool.Close()
 	pool.SetServer("s1", "a", backend.Limits{Permits: 3, Slots: 2})
-	var users sync.WaitGroup
+	var workers sync.WaitGroup
 	for range 8 {
-		users.Go(func() {
+		workers.Go(func() {
 			for range 50 {
 				lease, err := pool.Acquire(context.Background(), time.Now(), poolRequest(time.Minute))
 				if err != nil {
@@ -34,7 +35,7 @@
 			}
 		})
 	}
-	users.Go(func() {
+	workers.Go(func() {
 		for permits := range 50 {
 			pool.SetServer("s1", "a", backend.Limits{Permits: 1 + permits%3, Slots: 2})
 			pool.SetMinConnections("s1", permits%3)
@@ -42,5 +43,5 @@
 			pool.SetServer("s1", "a", backend.Limits{Permits: 3, Slots: 2})
 		}
 	})
-	users.Wait()
+	workers.Wait()
 }
--- a/backend/pool_test.go
+++ b/backend/pool_test.go
@@ -15,23 +15,24 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// script is a server that accepts connections and answers each query with the
-// messages of reply.
-type script struct {
+// scriptedServer is a server that answers each query with the messages that respond
+// returns.
+type scriptedServer struct {
 	password string
-	reply    func(sql string) []pgproto3.BackendMessage
+	respond  func(sql string) []pgproto3.BackendMessage
 
-	mu      sync.Mutex
-	log     []string
-	opened  int
-	refused bool
-	started map[string]string
+	mu                sync.Mutex
+	queries           []string
+	opened            int
+	refuseConnections bool
+	startupParameters map[string]string
 }
 
-func (s *script) dial(context.Context, string, string) (net.Conn, error) {
+// dial connects to the server, unless refuseConnections is set.
+func (s *scriptedServer) dial(context.Context, string, string) (net.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refused {
+	if s.refuseConnections {
 		return nil, errors.New("connection refused")
 	}
 	s.opened++
@@ -40,7 +41,8 @@
 	return client, nil
 }
 
-func (s *script) serve(conn net.Conn) {
+// serve authenticates the client of a connection and answers its queries.
+func (s *scriptedServer) serve(conn net.Conn) {
 	defer conn.Close()
 	b := pgproto3.NewBackend(conn, conn)
 	start, err := b.ReceiveStartupMessage()
@@ -48,7 +50,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.started = start.(*pgproto3.StartupMessage).Parameters
+	s.startupParameters = start.(*pgproto3.StartupMessage).Parameters
 	s.mu.Unlock()
 	if s.password != "" {
 		b.Send(&pgproto3.AuthenticationCleartextPassword{})
@@ -73,19 +75,21 @@
 			continue
 		}
 		s.mu.Lock()
-		s.log = append(s.log, query.String)
+		s.queries = append(s.queries, query.String)
 		s.mu.Unlock()
-		for _, answer := range s.reply(query.String) {
+		for _, answer := range s.respond(query.String) {
 			b.Send(answer)
 		}
 	}
 }
 
-func done(string) []pgproto3.BackendMessage {
+// replyOK returns the response to a query that succeeds without rows.
+func replyOK(string) []pgproto3.BackendMessage {
 	return []pgproto3.BackendMessage{&pgproto3.CommandComplete{CommandTag: []byte("OK")}, &pgproto3.ReadyForQuery{TxStatus: 'I'}}
 }
 
-func (s *script) connect(ctx context.Context, server fleet.ServerID, address string) (*backend.Conn, error) {
+// connect opens a connection to the server, as PoolConfig.Connect does.
+func (s *scriptedServer) connect(ctx context.Context, server fleet.ServerID, address string) (*backend.Conn, error) {
 	return backend.Connect(ctx, backend.ConnConfig{Address: address, Database: "d", Dial: s.dial, Password: s.password, Server: server, User: "proxy"})
 }
 
@@ -97,20 +101,20 @@
 	return ""
 }
 
-func poolRequest(patience time.Duration) backend.PoolRequest {
+func poolRequest(timeout time.Duration) backend.PoolRequest {
 	now := time.Now()
-	return backend.PoolRequest{ArrivedAt: now, Deadline: now.Add(patience), Server: "s1", Weight: 1, Workspace: "w"}
+	return backend.PoolRequest{ArrivedAt: now, Deadline: now.Add(timeout), Server: "s1", Weight: 1, Workspace: "w"}
 }
 
-// TestConnState guards against session state reaching another owner, and
-// against a connection being reused that is out of step.
+// TestConnState guards against session state reaching another owner, and against the
+// reuse of a connection with an unread response.
 func TestConnState(t *testing.T) {
-	s := &script{password: "secret", reply: func(sql string) []pgproto3.BackendMessage {
-		answer := done(sql)
+	s := &scriptedServer{password: "secret", respond: func(sql string) []pgproto3.BackendMessage {
+		messages := replyOK(sql)
 		if sql == "twice" {
-			answer = append(answer, &pgproto3.ReadyForQuery{TxStatus: 'I'})
+			messages = append(messages, &pgproto3.ReadyForQuery{TxStatus: 'I'})
 		}
-		return answer
+		return messages
 	}}
 	conn, err := s.connect(context.Background(), "s1", "a")
 	if err != nil {
@@ -118,8 +122,8 @@
 	}
 	defer conn.Close()
 	want := map[string]string{"application_name": "nutmegpier", "database": "d", "user": "proxy"}
-	if diff := cmp.Diff(want, s.started); diff != "" {
-		t.Errorf("start-up parameters (-want +got):\n%s", diff)
+	if diff := cmp.Diff(want, s.startupParameters); diff != "" {
+		t.Errorf("startup parameters (-want +got):\n%s", diff)
 	}
 	adopt := func(owner uint64, profile string) {
 		t.Helper()
@@ -134,7 +138,7 @@
 	conn.MarkStateChanged()
 	adopt(2, "")
 	adopt(3, "SET a TO '2'")
-	if diff := cmp.Diff([]string{"SET a TO '1'", "RESET ALL", "DISCARD ALL", "SET a TO '2'"}, s.log); diff != "" {
+	if diff := cmp.Diff([]string{"SET a TO '1'", "RESET ALL", "DISCARD ALL", "SET a TO '2'"}, s.queries); diff != "" {
 		t.Errorf("statements (-want +got):\n%s", diff)
 	}
 	if !conn.Reusable() {
@@ -144,10 +148,10 @@
 		t.Fatal(err)
 	}
 	if conn.Reusable() {
-		t.Error("connection with an unread answer is reusable")
+		t.Error("connection with an unread response is reusable")
 	}
-	wrong := &script{password: "other", reply: done}
-	_, err = backend.Connect(context.Background(), backend.ConnConfig{Dial: wrong.dial, Password: "secret", User: "proxy"})
+	otherServer := &scriptedServer{password: "other", respond: replyOK}
+	_, err = backend.Connect(context.Background(), backend.ConnConfig{Dial: otherServer.dial, Password: "secret", User: "proxy"})
 	if diff := cmp.Diff(backend.KindServer, kindOf(err)); diff != "" {
 		t.Errorf("wrong password (-want +got):\n%s", diff)
 	}
--- a/backend/pool_time_test.go
+++ b/backend/pool_time_test.go
@@ -14,11 +14,11 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// TestPoolLifecycle guards against requests that wait beyond their deadline,
-// permits given up while in use, and work on a server that is leaving.
+// TestPoolLifecycle guards against requests that wait beyond their deadline, permits
+// that are released while in use, and new requests on a draining server.
 func TestPoolLifecycle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{reply: done}
+		s := &scriptedServer{respond: replyOK}
 		starved := make(chan fleet.ServerID, 10)
 		pool := backend.NewPool(backend.PoolConfig{Connect: s.connect, OnStarved: func(server fleet.ServerID) { starved <- server }})
 		defer pool.Close()
@@ -42,21 +42,21 @@
 			t.Errorf("starved server (-want +got):\n%s", diff)
 		}
 		if pool.ReleasePermit("s1") {
-			t.Error("gave the permit of a connection in use")
+			t.Error("ReleasePermit() released the permit of a connection in use")
 		}
 		first.Release(true)
 		first.Release(true)
 		if !pool.ReleasePermit("s1") {
-			t.Error("kept the permit of an idle connection")
+			t.Error("ReleasePermit() did not release the permit of an idle connection")
 		}
 		if diff := cmp.Diff(backend.Counts{}, pool.Counts("s1")); diff != "" {
-			t.Errorf("counts after giving the permit (-want +got):\n%s", diff)
+			t.Errorf("counts after ReleasePermit() (-want +got):\n%s", diff)
 		}
 		pool.SetServer("s1", "a", backend.Limits{Permits: 3, Slots: 2})
 		pool.SetMinConnections("s1", 3)
 		synctest.Wait()
 		if diff := cmp.Diff(backend.Counts{Idle: 3}, pool.Counts("s1")); diff != "" {
-			t.Errorf("counts after warm-up (-want +got):\n%s", diff)
+			t.Errorf("counts after SetMinConnections() (-want +got):\n%s", diff)
 		}
 		last, err := pool.Acquire(ctx, time.Now(), poolRequest(time.Second))
 		if err != nil {
@@ -73,11 +73,12 @@
 	})
 }
 
-// TestPoolServerDown guards against requests that wait for a server that can't
-// be reached instead of going elsewhere, and against it not being tried again.
+// TestPoolServerDown guards against requests that wait for an unreachable server
+// instead of failing at once, so that they can go to another server, and against a
+// server that is never tried again.
 func TestPoolServerDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{refused: true, reply: done}
+		s := &scriptedServer{refuseConnections: true, respond: replyOK}
 		pool := backend.NewPool(backend.PoolConfig{Connect: s.connect})
 		defer pool.Close()
 		pool.SetServer("s1", "a", backend.Limits{Permits: 2, Slots: 2})
@@ -88,7 +89,7 @@
 			}
 		}
 		s.mu.Lock()
-		s.refused = false
+		s.refuseConnections = false
 		s.mu.Unlock()
 		time.Sleep(time.Second)
 		lease, err := pool.Acquire(context.Background(), time.Now(), poolRequest(time.Minute))
--- a/backend/poolstate.go
+++ b/backend/poolstate.go
@@ -6,50 +6,51 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// Backoff after failed openings: doubled from the first to the bound.
+// Bounds of the exponential backoff after failed attempts to connect.
 const (
 	firstOpenBackoff = 50 * time.Millisecond
 	maxOpenBackoff   = time.Second
 )
 
-// Limits bound the connections to one server.
+// Limits are the limits on the connections to one server.
 type Limits struct {
-	// Permits is the largest number of connections, idle ones included.
+	// Permits is the maximum number of connections: in use, idle and being opened.
 	Permits int
-	// Slots is the largest number of connections in use.
+	// Slots is the maximum number of connections in use.
 	Slots int
 }
 
-// WaiterID names a waiting request inside one PoolState.
+// WaiterID identifies a waiting request within one PoolState.
 type WaiterID uint64
 
-// ActionKind says what the pool has to do.
+// ActionKind is the kind of an Action.
 type ActionKind string
 
 // Kinds of actions.
 const (
-	// ActionCloseIdle closes one idle connection.
+	// ActionCloseIdle closes the longest unused idle connection.
 	ActionCloseIdle ActionKind = "CloseIdle"
-	// ActionExpire refuses a waiter whose deadline has come.
+	// ActionExpire refuses a waiter whose deadline has passed.
 	ActionExpire ActionKind = "Expire"
-	// ActionGrant gives an idle connection to a waiter.
+	// ActionGrant leases an idle connection to a waiter.
 	ActionGrant ActionKind = "Grant"
-	// ActionOpen opens one connection and reports with Opened.
+	// ActionOpen starts to open one connection. The result is passed to Opened.
 	ActionOpen ActionKind = "Open"
-	// ActionRefuse refuses a waiter because the server can't be reached or
-	// takes no new work.
+	// ActionRefuse refuses a waiter, because the server can't be reached or is
+	// draining.
 	ActionRefuse ActionKind = "Refuse"
-	// ActionStarved tells that more permits are needed.
+	// ActionStarved reports that more permits are needed.
 	ActionStarved ActionKind = "Starved"
 )
 
-// Action is one thing that the pool has to do.
+// Action is an operation that the pool has to perform.
 type Action struct {
-	Kind   ActionKind
+	Kind ActionKind
+	// Waiter is set for ActionExpire, ActionGrant and ActionRefuse.
 	Waiter WaiterID
 }
 
-// Counts are the numbers of connections of one server.
+// Counts are the numbers of connections and waiting requests of one server.
 type Counts struct {
 	Idle    int
 	InUse   int
@@ -57,49 +58,53 @@
 	Waiting int
 }
 
-// total returns the connections that use a permit.
-func (c Counts) total() int {
+// usedPermits returns the number of connections, each of which uses a permit.
+func (c Counts) usedPermits() int {
 	return c.Idle + c.InUse + c.Opening
 }
 
-// PoolState decides on the connections to one server. It does no I/O: each
-// method returns what has to be done. It isn't safe for concurrent use.
+// PoolState is the state machine of the connections to one server. It does no I/O:
+// its methods return the actions that the pool has to perform. It isn't safe for
+// concurrent use.
 type PoolState struct {
+	// backoff is the current backoff after failed attempts to connect, or zero.
 	backoff    time.Duration
 	counts     Counts
 	draining   bool
 	limits     Limits
 	maxOpening int
 	queue      *workspace.Queue[WaiterID]
-	retryAt    time.Time
-	warm       int
+	// retryAt is the end of the backoff, or zero.
+	retryAt time.Time
+	// minConnections is the number of connections to keep open.
+	minConnections int
 }
 
 // NewPoolState returns the state of a server without connections. At most
-// maxOpening connections are opened at a time, and queueLimit requests of each
-// workspace wait.
+// maxOpening connections are opened concurrently, and at most queueLimit requests
+// of each workspace wait.
 func NewPoolState(limits Limits, maxOpening, queueLimit int) *PoolState {
 	return &PoolState{limits: limits, maxOpening: max(1, maxOpening), queue: workspace.NewQueue[WaiterID](queueLimit)}
 }
 
-// Abandon removes a waiter that gave up. It reports false if the waiter was
-// granted a connection or refused before.
+// Abandon removes a waiter that has stopped waiting. It reports false if the waiter
+// has already been granted a connection or refused.
 func (p *PoolState) Abandon(waiter WaiterID) bool {
 	removed := p.queue.Remove(func(value WaiterID) bool { return value == waiter })
 	p.counts.Waiting = p.queue.Len()
 	return removed > 0
 }
 
-// Counts returns the numbers of connections.
+// Counts returns the numbers of connections and waiting requests.
 func (p *PoolState) Counts() Counts {
 	return p.counts
 }
 
-// Drain stops new work: waiters are refused, idle connections are closed, and
-// those in use are closed when they are released.
+// Drain refuses all waiters and closes the idle connections. Connections in use are
+// closed when they are released. SetLimits ends the drain.
 func (p *PoolState) Drain() []Action {
 	p.draining = true
-	p.warm = 0
+	p.minConnections = 0
 	var actions []Action
 	for {
 		entry, found, expired := p.queue.Pop(time.Time{})
@@ -116,12 +121,13 @@
 	return actions
 }
 
-// Draining reports whether the server takes no new work.
+// Draining reports whether the server is draining.
 func (p *PoolState) Draining() bool {
 	return p.draining
 }
 
-// Enqueue adds a waiter. It reports false if the workspace has too many waiting.
+// Enqueue adds a waiter. It reports false if the workspace already has the maximum
+// number of waiters.
 func (p *PoolState) Enqueue(now time.Time, entry workspace.Entry[WaiterID]) ([]Action, bool) {
 	if !p.queue.Push(entry) {
 		return nil, false
@@ -129,9 +135,10 @@
 	return p.advance(now), true
 }
 
-// ReleasePermit gives up one permit if that interrupts no work. A permit without
-// connection is given before one of an idle connection, which is then closed.
-func (p *PoolState) ReleasePermit(now time.Time) (actions []Action, given bool) {
+// ReleasePermit gives up one permit, and reports false if all of them belong to
+// connections that are in use or being opened. It gives up a permit without a
+// connection if there is one, and otherwise closes an idle connection.
+func (p *PoolState) ReleasePermit(now time.Time) (actions []Action, released bool) {
 	busy := p.counts.InUse + p.counts.Opening
 	if p.limits.Permits == 0 || busy >= p.limits.Permits {
 		return nil, false
@@ -140,14 +147,14 @@
 	return p.advance(now), true
 }
 
-// Held returns the number of permits that are in effect. It is above the limit
-// while connections over a lowered limit are still in use.
+// HeldPermits returns the number of permits in effect. It is above the limit while
+// connections that exceed a lowered limit are still in use.
 func (p *PoolState) HeldPermits() int {
-	return max(p.limits.Permits, p.counts.total())
+	return max(p.limits.Permits, p.counts.usedPermits())
 }
 
-// Opened takes the result of an ActionOpen. A failed one refuses the waiter
-// whose turn it is, so that it can try another server.
+// Opened records the result of an ActionOpen. If opening failed, the next waiter in
+// the queue is refused, so that its request can be routed to another server.
 func (p *PoolState) Opened(now time.Time, ok bool) []Action {
 	p.counts.Opening--
 	if ok {
@@ -167,8 +174,8 @@
 	return append(actions, p.advance(now)...)
 }
 
-// Release takes a connection back that was in use. One that isn't healthy is
-// closed by the pool itself.
+// Release records that a connection in use was released. If it isn't healthy, the
+// pool has already closed it.
 func (p *PoolState) Release(now time.Time, healthy bool) []Action {
 	p.counts.InUse--
 	if healthy {
@@ -177,28 +184,29 @@
 	return p.advance(now)
 }
 
-// RetryAt returns when openings may be tried again, or zero.
+// RetryAt returns the end of the backoff after a failed attempt to connect, or
+// zero.
 func (p *PoolState) RetryAt() time.Time {
 	return p.retryAt
 }
 
-// SetLimits changes the limits. Idle connections over a lowered limit are
-// closed at once, those in use when they are released.
+// SetLimits changes the limits and ends a drain. Idle connections that exceed a
+// lowered limit are closed at once, and connections in use when they are released.
 func (p *PoolState) SetLimits(now time.Time, limits Limits) []Action {
 	p.limits = limits
 	p.draining = false
 	return p.advance(now)
 }
 
-// Tick refuses waiters whose deadline has come and tries openings again after
-// a backoff.
+// Tick refuses waiters whose deadline has passed, and opens connections that were
+// delayed by a backoff.
 func (p *PoolState) Tick(now time.Time) []Action {
 	actions := appendExpired(nil, p.queue.Expire(now))
 	return append(actions, p.advance(now)...)
 }
 
-// TryGrant takes an idle connection for a new request, if one is free and
-// nobody waits.
+// TryGrant marks an idle connection as in use for a new request. It reports false
+// if none is available or other requests are waiting.
 func (p *PoolState) TryGrant() bool {
 	if p.draining || p.counts.Idle == 0 || p.queue.Len() > 0 || p.counts.InUse >= p.limits.Slots {
 		return false
@@ -208,16 +216,17 @@
 	return true
 }
 
-// Warm keeps at least n connections open, within the permits.
+// SetMinConnections keeps at least n connections open, as far as the permits allow.
 func (p *PoolState) SetMinConnections(now time.Time, n int) []Action {
-	p.warm = n
+	p.minConnections = n
 	return p.advance(now)
 }
 
-// advance does what the current numbers allow and ask for.
+// advance closes idle connections that exceed the limits, grants idle connections
+// to waiters, and opens connections that are needed.
 func (p *PoolState) advance(now time.Time) []Action {
 	var actions []Action
-	for p.counts.Idle > 0 && (p.draining || p.counts.total() > p.limits.Permits) {
+	for p.counts.Idle > 0 && (p.draining || p.counts.usedPermits() > p.limits.Permits) {
 		p.counts.Idle--
 		actions = append(actions, Action{Kind: ActionCloseIdle})
 	}
@@ -232,18 +241,19 @@
 		actions = append(actions, Action{Kind: ActionGrant, Waiter: entry.Value})
 	}
 	p.counts.Waiting = p.queue.Len()
-	return p.open(now, actions)
+	return p.scheduleOpens(now, actions)
 }
 
-// open adds openings for the waiters that slots allow to run, and for warm-up.
-func (p *PoolState) open(now time.Time, actions []Action) []Action {
+// scheduleOpens appends actions that open connections for the waiters that the
+// slots allow to run, and to reach the minimum number of connections.
+func (p *PoolState) scheduleOpens(now time.Time, actions []Action) []Action {
 	if p.draining || now.Before(p.retryAt) {
 		return actions
 	}
 	wanted := min(p.counts.Waiting, p.limits.Slots-p.counts.InUse) - p.counts.Idle - p.counts.Opening
-	wanted = max(wanted, min(p.warm, p.limits.Permits)-p.counts.total())
+	wanted = max(wanted, min(p.minConnections, p.limits.Permits)-p.counts.usedPermits())
 	for ; wanted > 0; wanted-- {
-		if p.counts.total() >= p.limits.Permits {
+		if p.counts.usedPermits() >= p.limits.Permits {
 			return append(actions, Action{Kind: ActionStarved})
 		}
 		if p.counts.Opening >= p.maxOpening {
@@ -255,6 +265,7 @@
 	return actions
 }
 
+// appendExpired appends an ActionExpire for each entry.
 func appendExpired(actions []Action, expired []workspace.Entry[WaiterID]) []Action {
 	for _, entry := range expired {
 		actions = append(actions, Action{Kind: ActionExpire, Waiter: entry.Value})
--- a/backend/poolstate_test.go
+++ b/backend/poolstate_test.go
@@ -13,9 +13,10 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-var poolStart = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// poolModel performs the actions of a PoolState and checks them.
+// poolModel is a reference model that performs the actions of a PoolState and checks
+// that they are allowed.
 type poolModel struct {
 	idle, inUse, opening int
 	now                  time.Time
@@ -51,12 +52,12 @@
 }
 
 // TestPoolStateKeepsLimits guards against more connections than permits, more
-// work than slots, and waiters that are lost or granted twice, also while
-// limits change.
+// connections in use than slots, and waiters that are lost or granted twice, also
+// while the limits change.
 func TestPoolStateKeepsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := backend.Limits{Permits: rapid.IntRange(1, 6).Draw(t, "permits"), Slots: rapid.IntRange(1, 4).Draw(t, "slots")}
-		m := &poolModel{now: poolStart, state: backend.NewPoolState(limits, 2, 100), t: t, waiting: map[backend.WaiterID]time.Time{}}
+		m := &poolModel{now: startTime, state: backend.NewPoolState(limits, 2, 100), t: t, waiting: map[backend.WaiterID]time.Time{}}
 		maxOpen, maxInUse := limits.Permits, limits.Slots
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			id := backend.WaiterID(i + 1)
@@ -99,13 +100,13 @@
 				limits = backend.Limits{Permits: rapid.IntRange(0, 6).Draw(t, "permits"), Slots: rapid.IntRange(1, 4).Draw(t, "slots")}
 				m.perform(m.state.SetLimits(m.now, limits))
 			case 6:
-				actions, given := m.state.ReleasePermit(m.now)
+				actions, released := m.state.ReleasePermit(m.now)
 				m.perform(actions)
-				if given {
+				if released {
 					limits.Permits--
 				}
-				if given && m.idle+m.inUse+m.opening > limits.Permits {
-					t.Fatal("a permit in use was given up")
+				if released && m.idle+m.inUse+m.opening > limits.Permits {
+					t.Fatal("a permit in use was released")
 				}
 			case 7:
 				m.perform(m.state.SetMinConnections(m.now, rapid.IntRange(0, 3).Draw(t, "warm")))
@@ -115,7 +116,8 @@
 					m.perform(m.state.SetLimits(m.now, limits))
 				}
 			}
-			// Connections over a lowered limit may only become fewer.
+			// Connections that exceed a lowered limit may stay, but their number
+			// must not grow.
 			maxOpen = max(limits.Permits, min(maxOpen, m.idle+m.inUse+m.opening))
 			maxInUse = max(limits.Slots, min(maxInUse, m.inUse))
 			if total := m.idle + m.inUse + m.opening; total > maxOpen || m.inUse > maxInUse || m.opening > 2 || total > m.state.HeldPermits() {
@@ -126,14 +128,14 @@
 				t.Fatalf("counts (-want +got):\n%s", diff)
 			}
 			if len(m.waiting) > 0 && m.idle > 0 && m.inUse < limits.Slots {
-				t.Fatalf("%d wait although a connection is idle", len(m.waiting))
+				t.Fatalf("%d requests wait although an idle connection and a slot are free", len(m.waiting))
 			}
 		}
 	})
 }
 
-// TestPoolStateIsFair guards against a workspace that sends eight times its
-// share taking the turns of the others.
+// TestPoolStateIsFair guards against a workspace that sends eight times its share of
+// requests taking the shares of the others.
 func TestPoolStateIsFair(t *testing.T) {
 	weights := map[fleet.WorkspaceID]int{"greedy": 1, "large": 3, "small": 1}
 	state := backend.NewPoolState(backend.Limits{Permits: 1, Slots: 1}, 1, 1000)
@@ -147,10 +149,10 @@
 		for range backlog {
 			id++
 			owner[id] = name
-			state.Enqueue(poolStart, workspace.Entry[backend.WaiterID]{Deadline: poolStart.Add(time.Hour), Value: id, Weight: weights[name], Workspace: name})
+			state.Enqueue(startTime, workspace.Entry[backend.WaiterID]{Deadline: startTime.Add(time.Hour), Value: id, Weight: weights[name], Workspace: name})
 		}
 	}
-	actions := state.Opened(poolStart, true)
+	actions := state.Opened(startTime, true)
 	for round := range 4 {
 		got := map[fleet.WorkspaceID]int{}
 		for range 5 {
@@ -158,7 +160,7 @@
 				t.Fatalf("no grant in %v", actions)
 			}
 			got[owner[actions[0].Waiter]]++
-			actions = state.Release(poolStart, true)
+			actions = state.Release(startTime, true)
 		}
 		if diff := cmp.Diff(weights, got); diff != "" {
 			t.Errorf("grants of round %s (-want +got):\n%s", fmt.Sprint(round), diff)
--- a/backend/state.go
+++ b/backend/state.go
@@ -1,93 +1,98 @@
 package backend
 
-// unknownProfile is the profile of a connection whose settings aren't known.
-const unknownProfile = "\x00"
+// unknownSettings marks a connection whose settings are unknown. It differs from
+// any SQL.
+const unknownSettings = "\x00"
 
-// Adopt makes the session state of the connection that of the given owner.
-// Profile is the SQL that sets the owner's settings, or empty. State that
-// another owner left behind is discarded first.
-func (c *Conn) PrepareFor(owner uint64, profile string) error {
-	if c.touched && c.owner != owner {
+// PrepareFor prepares the connection for requests of the given owner. settings is
+// the SQL that sets the owner's settings, or empty for the defaults. Session state
+// that another owner left behind is discarded first.
+func (c *Conn) PrepareFor(owner uint64, settings string) error {
+	if c.stateChanged && c.owner != owner {
 		if err := c.Exec("DISCARD ALL"); err != nil {
 			c.broken = true
 			return err
 		}
 		c.ClearPrepared()
-		c.profile = ""
-		c.touched = false
+		c.settings = ""
+		c.stateChanged = false
 	}
 	c.owner = owner
-	if c.profile == profile {
+	if c.settings == settings {
 		return nil
 	}
 	sql := "RESET ALL"
-	if profile != "" {
-		sql += ";" + profile
+	if settings != "" {
+		sql += ";" + settings
 	}
-	if c.profile == "" {
-		sql = profile
+	if c.settings == "" {
+		sql = settings
 	}
-	c.profile = unknownProfile
+	c.settings = unknownSettings
 	if err := c.Exec(sql); err != nil {
 		return err
 	}
-	c.profile = profile
+	c.settings = settings
 	return nil
 }
 
-// Forget says that the connection holds no prepared statement any more.
+// ClearPrepared records that the connection has no prepared statements any more.
 func (c *Conn) ClearPrepared() {
 	clear(c.prepared)
-	c.unnamed = ""
+	c.unnamedStatement = ""
 }
 
-// HasPrepared reports whether the connection holds the named statement.
+// HasPrepared reports whether the connection has the named prepared statement.
 func (c *Conn) HasPrepared(name string) bool {
 	_, found := c.prepared[name]
 	return found
 }
 
-// Prepared returns the number of prepared statements on the connection.
+// PreparedCount returns the number of named prepared statements on the connection.
 func (c *Conn) PreparedCount() int {
 	return len(c.prepared)
 }
 
-// Retire keeps the connection from being reused.
+// MarkBroken keeps the connection from being reused.
 func (c *Conn) MarkBroken() {
 	c.broken = true
 }
 
-// SetPrepared notes whether the connection holds the named statement.
-func (c *Conn) SetPrepared(name string, held bool) {
-	if held {
+// SetPrepared records whether the connection has the named prepared statement.
+func (c *Conn) SetPrepared(name string, exists bool) {
+	if exists {
 		c.prepared[name] = struct{}{}
 		return
 	}
 	delete(c.prepared, name)
 }
 
-// SetSettings notes the settings that statements have put into effect.
-func (c *Conn) SetSettings(profile string) {
-	c.profile = profile
+// SetSettings records the settings that the owner's own statements have set, as SQL
+// that would produce them.
+func (c *Conn) SetSettings(settings string) {
+	c.settings = settings
 }
 
-// SetSettingsUnknown notes that the settings must be set anew before the next use.
+// SetSettingsUnknown makes the next PrepareFor reset the settings and set them
+// again.
 func (c *Conn) SetSettingsUnknown() {
-	c.profile = unknownProfile
+	c.settings = unknownSettings
 }
 
-// SetUnnamedStatement notes which statement the unnamed one is. Empty means unknown.
+// SetUnnamedStatement records the key of the unnamed prepared statement. Empty
+// means unknown.
 func (c *Conn) SetUnnamedStatement(key string) {
-	c.unnamed = key
+	c.unnamedStatement = key
 }
 
-// Touch notes that the session state may have changed unseen, so that it is
-// discarded before another owner uses the connection.
+// MarkStateChanged records that the session state may have changed in an untracked
+// way, so that it is discarded before another owner uses the connection.
 func (c *Conn) MarkStateChanged() {
-	c.touched = true
+	c.stateChanged = true
 }
 
-// Unnamed returns the key of the unnamed statement, or empty.
+// UnnamedStatement returns the key of the unnamed prepared statement, or empty if
+// it is unknown.
 func (c *Conn) UnnamedStatement() string {
-	return c.unnamed
+	return c.unnamedStatement
 }
