--- a/event/event_test.go
+++ b/event/event_test.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestStampsRise guards against stamps that go back with the wall clock or
+// TestStampsIncrease guards against stamps that go back with the wall clock or
 // that do not pass an observed stamp, also through their text form.
-func TestStampsRise(t *testing.T) {
+func TestStampsIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
 		r := recorder("a", &now, io.Discard, 1)
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -185,9 +185,9 @@
 	return conn
 }
 
-// TestBookingIsReadThroughAnotherInstance guards against a session that roams
+// TestWriteIsReadThroughAnotherInstance guards against a session that roams
 // to another instance without a token and misses an acknowledged write.
-func TestBookingIsReadThroughAnotherInstance(t *testing.T) {
+func TestWriteIsReadThroughAnotherInstance(t *testing.T) {
 	f := newFixture(t, 2)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
