--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -1,4 +1,4 @@
-// Package cmd holds the commands of the nutmegpier binary.
+// Package cmd implements the commands of the nutmegpier binary.
 package cmd
 
 import (
@@ -15,27 +15,28 @@
 	exitOK = 0
 	// exitFailure means that the command failed and changed nothing.
 	exitFailure = 1
-	// exitUsage means a usage error or bad input.
+	// exitUsage means a usage error or invalid input.
 	exitUsage = 2
-	// exitConflict means that another operator was faster.
+	// exitConflict means that another sheet was published first, and nothing was
+	// changed.
 	exitConflict = 3
-	// exitUnknown means that a change may have taken effect.
+	// exitUnknown means that it is unknown whether a change took effect.
 	exitUnknown = 4
-	// exitUnconfirmed means that a change took effect and is not confirmed by a
-	// majority of the instances yet.
+	// exitUnconfirmed means that a change took effect, but a majority of the
+	// instances has not confirmed it yet.
 	exitUnconfirmed = 5
 )
 
-// Error is an error with the exit status that it leads to.
+// Error is the error of a command with its exit status.
 type Error struct {
 	Err error
-	// Op is the command with those that it is part of.
+	// Op is the full path of the command, such as "nutmegpier sheet publish".
 	Op string
 	// Status is the exit status.
 	Status int
 }
 
-// Error returns command and cause.
+// Error returns the command and the cause.
 func (e *Error) Error() string {
 	return e.Op + ": " + e.Err.Error()
 }
@@ -55,15 +56,16 @@
 	if err == nil {
 		return exitOK
 	}
-	var known *Error
-	if !errors.As(err, &known) {
+	var cmdErr *Error
+	if !errors.As(err, &cmdErr) {
 		fmt.Fprintf(stderr, "nutmegpier: %v\n", err)
 		return exitFailure
 	}
-	fmt.Fprintln(stderr, known)
-	return known.Status
+	fmt.Fprintln(stderr, cmdErr)
+	return cmdErr.Status
 }
 
+// newRootCmd returns the root command with all commands and the global flags.
 func newRootCmd() *cobra.Command {
 	options := &globalOptions{}
 	root := newGroupCmd("nutmegpier", "PostgreSQL proxy with session consistency",
@@ -81,14 +83,14 @@
 	)
 	root.SilenceErrors = true
 	root.SilenceUsage = true
-	root.PersistentPreRunE = func(*cobra.Command, []string) error { return options.check() }
+	root.PersistentPreRunE = func(*cobra.Command, []string) error { return options.validate() }
 	root.SetFlagErrorFunc(func(cmd *cobra.Command, err error) error { return usageError(cmd, err) })
 	options.register(root.PersistentFlags())
 	return root
 }
 
-// newGroupCmd returns a command that only holds other commands. Without one of
-// them it shows its help.
+// newGroupCmd returns a command that only groups other commands. Run without one of
+// them, it shows its help.
 func newGroupCmd(use, short string, children ...*cobra.Command) *cobra.Command {
 	group := &cobra.Command{
 		Args: func(cmd *cobra.Command, args []string) error {
@@ -105,6 +107,7 @@
 	return group
 }
 
+// unknownCommand returns the error for an unknown command, with similar names.
 func unknownCommand(cmd *cobra.Command, name string) error {
 	message := fmt.Sprintf("unknown command %q", name)
 	cmd.SuggestionsMinimumDistance = 2
@@ -114,16 +117,17 @@
 	return errors.New(message)
 }
 
-// exactArgs wants exactly the named arguments.
+// exactArgs requires exactly the named arguments.
 func exactArgs(names ...string) cobra.PositionalArgs {
 	return rangeArgs(len(names), names...)
 }
 
-// rangeArgs wants the named arguments, of which those after the first are optional.
-func rangeArgs(least int, names ...string) cobra.PositionalArgs {
+// rangeArgs accepts the named arguments, of which those after the first required
+// ones are optional.
+func rangeArgs(required int, names ...string) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		switch {
-		case len(args) < least:
+		case len(args) < required:
 			return usageError(cmd, fmt.Errorf("argument %s is missing", names[len(args)]))
 		case len(args) > len(names):
 			return usageError(cmd, fmt.Errorf("unexpected argument %q", args[len(names)]))
@@ -133,10 +137,12 @@
 	}
 }
 
+// inputError returns an error about a command's input.
 func inputError(cmd *cobra.Command, err error) error {
 	return &Error{Err: err, Op: cmd.CommandPath(), Status: exitUsage}
 }
 
+// usageError returns an error about a command's arguments or flags.
 func usageError(cmd *cobra.Command, err error) error {
 	return &Error{Err: fmt.Errorf("%w\nRun '%s --help' for usage", err, cmd.CommandPath()), Op: cmd.CommandPath(), Status: exitUsage}
 }
--- a/cmd/configcmd.go
+++ b/cmd/configcmd.go
@@ -12,7 +12,7 @@
 	"github.com/nutmegpier/nutmegpier/settings"
 )
 
-// checkReport is the result of a check of a file.
+// checkReport is the result of checking a settings file or sheet.
 type checkReport struct {
 	File     string
 	Problems []document.Problem
@@ -22,7 +22,7 @@
 	check := &cobra.Command{
 		Args:    exactArgs("FILE"),
 		Example: "  nutmegpier config check /etc/nutmegpier/serve.hujson",
-		Long:    "Check reads a settings file and reports all its problems at once, each with line and column.\nThe exit status is 2 when there are any.",
+		Long:    "Check reads a settings file and reports all its problems, each with line and column.\nThe exit status is 2 if there are any.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return runConfigCheck(cmd, options, args[0])
 		},
@@ -45,9 +45,10 @@
 	return options.printReport(cmd, report)
 }
 
-// printReport prints a check of a file and fails when it has problems.
+// printReport prints the result of checking a file, and returns an error if the file
+// has problems.
 func (o *globalOptions) printReport(cmd *cobra.Command, report checkReport) error {
-	report.Problems = orEmpty(report.Problems)
+	report.Problems = nonNil(report.Problems)
 	err := o.print(cmd, report, func(out io.Writer) error {
 		for _, problem := range report.Problems {
 			fmt.Fprintln(out, problem)
--- a/cmd/democmd.go
+++ b/cmd/democmd.go
@@ -19,13 +19,15 @@
 )
 
 const (
-	// demoInstances is large enough to show a majority of instances.
+	// demoInstances is the default number of instances. With three, a majority
+	// remains when one fails.
 	demoInstances = 3
-	// demoStartTimeout bounds the start of a demo. The shares of the first
-	// sheet become usable after a validity lease.
+	// demoStartTimeout bounds the start of a demo. The start takes at least a
+	// validity lease, because only then the shares of the first sheet are usable.
 	demoStartTimeout = time.Minute
 )
 
+// demoOptions holds the flags of demo.
 type demoOptions struct {
 	external    int
 	externalDir string
@@ -47,7 +49,7 @@
 the database groups of two firms, instances, and a published sheet.
 
 The first lines on standard output are connection URLs. The demo serves until
-it is interrupted. It reads these commands from standard input, one a line:
+it is interrupted. It reads these commands from standard input, one per line:
 
 ` + demo.FaultHelp,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return runDemoCmd(cmd, options, local) },
@@ -57,7 +59,7 @@
 	flags := command.Flags()
 	flags.IntVar(&local.external, "external", 0, "number of settings files to write for instances that run with nutmegpier serve")
 	flags.StringVar(&local.externalDir, "external-dir", ".", "directory for the files of --external")
-	flags.StringArrayVar(&local.faults, "fault", nil, "a delay and a command, carried out after the start; can be repeated")
+	flags.StringArrayVar(&local.faults, "fault", nil, "a delay after the start and a fault command to run then; can be repeated")
 	flags.IntVar(&local.instances, "instances", demoInstances, "number of instances")
 	flags.StringVar(&local.listen, "listen", "127.0.0.1:0", "address of the first instance; the others take the following ports; port 0 takes free ports")
 	flags.StringVar(&local.logFile, "log-file", "", "file for the log lines of all instances; empty means none")
@@ -65,7 +67,7 @@
 	return command
 }
 
-// scheduledFault is a fault command with its time after the start.
+// scheduledFault is a fault command that runs at a time after the start.
 type scheduledFault struct {
 	after   time.Duration
 	command string
@@ -86,9 +88,9 @@
 	defer closeLog()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	starting, cancel := context.WithTimeout(ctx, demoStartTimeout)
+	startCtx, cancel := context.WithTimeout(ctx, demoStartTimeout)
 	defer cancel()
-	running, err := demo.Start(starting, demo.Options{
+	d, err := demo.Start(startCtx, demo.Options{
 		Deployments: demo.Deployments(),
 		Instances:   local.instances,
 		Listen:      local.listen,
@@ -98,64 +100,66 @@
 	if err != nil {
 		return err
 	}
-	if err := announceDemo(cmd, running, local); err != nil {
-		return errors.Join(err, running.Close())
+	if err := printDemoInfo(cmd, d, local); err != nil {
+		return errors.Join(err, d.Close())
 	}
-	go readFaults(cmd, running)
+	go runFaultsFromInput(cmd, d)
 	for _, fault := range faults {
-		timer := time.AfterFunc(fault.after, func() { reportFault(cmd, running, fault.command) })
+		timer := time.AfterFunc(fault.after, func() { runFault(cmd, d, fault.command) })
 		defer timer.Stop()
 	}
 	<-ctx.Done()
-	return running.Close()
+	return d.Close()
 }
 
-// announceDemo prints the connection URLs, and then how to operate the demo.
-func announceDemo(cmd *cobra.Command, running *demo.Demo, local *demoOptions) error {
+// printDemoInfo prints the connection URLs to standard output, and how to operate the
+// demo to standard error. It also writes the files that the flags request.
+func printDemoInfo(cmd *cobra.Command, d *demo.Demo, local *demoOptions) error {
 	out := cmd.OutOrStdout()
-	for _, url := range running.URLs() {
+	for _, url := range d.URLs() {
 		fmt.Fprintln(out, url)
 	}
 	if local.tokenFile != "" {
-		if err := os.WriteFile(local.tokenFile, []byte(running.Token()+"\n"), 0o600); err != nil {
+		if err := os.WriteFile(local.tokenFile, []byte(d.Token()+"\n"), 0o600); err != nil {
 			return inputError(cmd, err)
 		}
 	}
-	message := cmd.ErrOrStderr()
+	errOut := cmd.ErrOrStderr()
 	for number := range local.external {
-		external, err := running.WriteSettings(local.externalDir, number+1)
+		external, err := d.WriteSettings(local.externalDir, number+1)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(message, "nutmegpier serve --config %s\n  %s\n", external.Settings, external.URLs[0])
+		fmt.Fprintf(errOut, "nutmegpier serve --config %s\n  %s\n", external.Settings, external.URLs[0])
 	}
-	fmt.Fprintf(message, "administration API: %s\n", strings.Join(running.AdminURLs(), " "))
-	fmt.Fprintln(message, "serving until interrupted; type help for the fault commands")
+	fmt.Fprintf(errOut, "administration API: %s\n", strings.Join(d.AdminURLs(), " "))
+	fmt.Fprintln(errOut, "serving until interrupted; type help for the fault commands")
 	return nil
 }
 
-// readFaults carries out the commands of standard input until its end.
-func readFaults(cmd *cobra.Command, running *demo.Demo) {
+// runFaultsFromInput runs the fault commands of standard input until its end.
+func runFaultsFromInput(cmd *cobra.Command, d *demo.Demo) {
 	lines := bufio.NewScanner(cmd.InOrStdin())
 	for lines.Scan() {
-		reportFault(cmd, running, lines.Text())
+		runFault(cmd, d, lines.Text())
 	}
 }
 
-func reportFault(cmd *cobra.Command, running *demo.Demo, command string) {
-	message := cmd.ErrOrStderr()
+// runFault runs a fault command and prints its outcome.
+func runFault(cmd *cobra.Command, d *demo.Demo, command string) {
+	errOut := cmd.ErrOrStderr()
 	if strings.TrimSpace(command) == "help" {
-		fmt.Fprintln(message, demo.FaultHelp)
+		fmt.Fprintln(errOut, demo.FaultHelp)
 		return
 	}
-	if err := running.Fault(command); err != nil {
-		fmt.Fprintln(message, err)
+	if err := d.Fault(command); err != nil {
+		fmt.Fprintln(errOut, err)
 		return
 	}
-	fmt.Fprintf(message, "done: %s\n", command)
+	fmt.Fprintf(errOut, "done: %s\n", command)
 }
 
-// parseFaults parses values such as "10s crash-primary quetzal_orders".
+// parseFaults parses values of --fault such as "10s crash-primary quetzal_orders".
 func parseFaults(texts []string) ([]scheduledFault, error) {
 	var faults []scheduledFault
 	for _, text := range texts {
@@ -172,7 +176,7 @@
 	return faults, nil
 }
 
-// openLog opens a log file for appending. An empty name means no log.
+// openLog opens a log file for appending. With an empty name the log is discarded.
 func openLog(name string) (out io.Writer, closeLog func(), err error) {
 	if name == "" {
 		return io.Discard, func() {}, nil
--- a/cmd/gatewayd/checkcmd.go
+++ b/cmd/gatewayd/checkcmd.go
@@ -10,7 +10,8 @@
 	"github.com/nutmegpier/nutmegpier/gateway"
 )
 
-// configVariable holds the path of the settings file when no flag gives it.
+// configVariable is the environment variable with the path of the settings file,
+// which is used without the flag --config.
 const configVariable = "NUTMEGPIER_CONFIG"
 
 func newCheckCmd() *cobra.Command {
@@ -32,6 +33,7 @@
 	return command
 }
 
+// readSettings reads the settings file, by default the one that configVariable names.
 func readSettings(file string) (gateway.Settings, error) {
 	if file == "" {
 		file = os.Getenv(configVariable)
--- a/cmd/gatewayd/servecmd.go
+++ b/cmd/gatewayd/servecmd.go
@@ -27,21 +27,24 @@
 )
 
 const (
-	// rotationTime is how long the platform sends new callers after an
-	// instance stops being ready: two misses of a probe a second.
-	rotationTime = 2300 * time.Millisecond
-	// stopReserve is kept of the stop bound for the end of the process.
-	stopReserve = 600 * time.Millisecond
-	// drainTick is the time between two looks at the open sessions of a stop.
-	drainTick = 20 * time.Millisecond
-	// logLines is the number of log lines that wait for a slow reader.
-	logLines = 256
-	// timelineCapacity is the number of events kept in memory.
+	// deregistrationDelay is how long the platform still sends new callers to an
+	// instance that is no longer ready. The platform probes once a second and
+	// removes an instance after two failed probes.
+	deregistrationDelay = 2300 * time.Millisecond
+	// shutdownReserve is the part of StopBound that is left for the shutdown after
+	// the sessions have ended.
+	shutdownReserve = 600 * time.Millisecond
+	// drainPollInterval is the interval at which a drain checks for open sessions.
+	drainPollInterval = 20 * time.Millisecond
+	// logQueueSize is the maximum number of log lines that wait for a slow reader.
+	logQueueSize = 256
+	// timelineCapacity is the number of events stored in memory.
 	timelineCapacity = 64
-	// readHeaderBound bounds the header of a ready probe.
-	readHeaderBound = 5 * time.Second
-	// idleConnections to the store: one for each follower, and calls besides.
-	idleConnections = 8
+	// readHeaderTimeout bounds reading the headers of an HTTP request.
+	readHeaderTimeout = 5 * time.Second
+	// maxIdleConnections is the maximum number of idle connections to a host. The
+	// store needs one for each table that is followed, and some for other calls.
+	maxIdleConnections = 8
 )
 
 func newServeCmd() *cobra.Command {
@@ -49,7 +52,7 @@
 	command := &cobra.Command{
 		Args: cobra.NoArgs,
 		Long: `Run an instance until SIGINT or SIGTERM. It then reports not ready, closes idle
-sessions, lets open transactions end in half of StopBound, and stops.`,
+sessions, lets open transactions finish within half of StopBound, and stops.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			settings, err := readSettings(config)
 			if err != nil {
@@ -64,18 +67,18 @@
 	return command
 }
 
-// bootTime returns a steady time that counts suspension as well. Its calendar
-// date means nothing.
+// bootTime returns a monotonic time that includes the time when the machine is
+// suspended. Its calendar date has no meaning.
 func bootTime() time.Time {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		panic("no boot-time clock: " + err.Error())
+		panic("read the boot-time clock: " + err.Error())
 	}
 	return time.Unix(now.Unix())
 }
 
-// listeners are what an instance listens on. Metrics, peers and
-// relay are nil if they are not served.
+// listeners holds the open listeners of an instance. Metrics, peers and relay are nil
+// if the settings have no address for them.
 type listeners struct {
 	callers net.Listener
 	metrics net.Listener
@@ -84,20 +87,22 @@
 	relay   net.Listener
 }
 
+// listen opens the listeners of the settings. The address for peers is used for
+// datagrams over UDP and for the relay over TCP.
 func listen(addresses gateway.Listen) (listeners, error) {
 	var l listeners
-	for _, each := range []struct {
+	for _, entry := range []struct {
 		address  string
 		listener *net.Listener
 	}{{addresses.Callers, &l.callers}, {addresses.Metrics, &l.metrics}, {addresses.Peers, &l.relay}, {addresses.Ready, &l.ready}} {
-		if each.address == "" {
+		if entry.address == "" {
 			continue
 		}
-		opened, err := net.Listen("tcp", each.address)
+		opened, err := net.Listen("tcp", entry.address)
 		if err != nil {
 			return listeners{}, err
 		}
-		*each.listener = opened
+		*entry.listener = opened
 	}
 	if addresses.Peers == "" {
 		return l, nil
@@ -110,99 +115,105 @@
 	return l, err
 }
 
-// serve runs an instance until a signal or a failure ends it.
+// serve runs an instance until a signal stops it or one of its servers fails.
 func serve(cmd *cobra.Command, config string, settings gateway.Settings) error {
-	limitResources(settings)
+	setMemoryLimit(settings)
 	epoch := fleet.Epoch(rand.Uint64())
-	lines := event.NewBoundedWriter(cmd.OutOrStdout(), logLines)
-	defer lines.Close(stopReserve / 4)
-	recorder := event.New(settings.Instance, epoch, time.Now, event.NewLogger(lines, "json", event.LevelInfo), timelineCapacity)
-	expvar.Publish("LogLinesDropped", expvar.Func(func() any { return lines.Dropped() }))
+	logWriter := event.NewBoundedWriter(cmd.OutOrStdout(), logQueueSize)
+	defer logWriter.Close(shutdownReserve / 4)
+	recorder := event.New(settings.Instance, epoch, time.Now, event.NewLogger(logWriter, "json", event.LevelInfo), timelineCapacity)
+	expvar.Publish("LogLinesDropped", expvar.Func(func() any { return logWriter.Dropped() }))
 	opened, err := listen(settings.Listen)
 	if err != nil {
 		return err
 	}
-	term, stopTerm := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer stopTerm()
+	stopCtx, releaseSignals := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer releaseSignals()
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
 
-	running, relays := newGateway(settings, epoch, gateway.NewLog(recorder, settings.Log.LinesPerSecond), opened.peers)
+	gw, relayServer := newGateway(settings, epoch, gateway.NewLog(recorder, settings.Log.LinesPerSecond), opened.peers)
 	callers := platform.NewCallerServer(session.Config{
-		Clock: bootTime, AccessController: running, Jitter: rand.Float64, Observer: running, Sleep: time.Sleep, Router: running,
-	}, running.TransactionIdle)
+		Clock: bootTime, AccessController: gw, Jitter: rand.Float64, Observer: gw, Sleep: time.Sleep, Router: gw,
+	}, gw.TransactionIdle)
 	recorder.Record(event.InstanceStarted, event.Fields{Text: runtime.Version()})
-	controllers, stopControllers := context.WithCancel(context.Background())
+	controllerCtx, stopControllers := context.WithCancel(context.Background())
 	defer stopControllers()
-	failed := start(controllers, running, callers, relays, opened)
+	failures := start(controllerCtx, gw, callers, relayServer, opened)
 	for {
 		select {
-		case err := <-failed:
+		case err := <-failures:
 			return err
 		case <-reload:
-			// Settings take effect at a start; the sheet holds what may change.
+			// The file is only checked: settings take effect at the next start. What
+			// can change at run time is in the sheet.
 			_, err := readSettings(config)
 			recordReload(recorder, err)
-		case <-term.Done():
+		case <-stopCtx.Done():
 			recorder.Record(event.InstanceDraining, event.Fields{})
-			drain(settings, running, callers, opened.callers)
+			drain(settings, gw, callers, opened.callers)
 			stopControllers()
-			leave(running)
+			announceLeave(gw)
 			recorder.Record(event.InstanceStopped, event.Fields{})
 			return nil
 		}
 	}
 }
 
-// start starts all that serves. The channel gets the first failure.
-func start(ctx context.Context, running *gateway.Gateway, callers *platform.CallerServer, relays *relay.Server, opened listeners) <-chan error {
-	const servers = 5
-	failed := make(chan error, servers)
-	ready := platform.ReadyHandler(func() bool { return running.Ready(bootTime()) })
-	go func() { failed <- running.Run(ctx) }()
-	go func() { failed <- callers.Serve(opened.callers) }()
-	go serveHTTP(opened.ready, ready, failed)
-	if relays != nil {
-		go serveHTTP(opened.relay, relays.Handler(), failed)
+// start starts the gateway and all servers. The channel receives their failures.
+func start(ctx context.Context, gw *gateway.Gateway, callers *platform.CallerServer, relayServer *relay.Server, opened listeners) <-chan error {
+	const maxFailures = 5
+	failures := make(chan error, maxFailures)
+	ready := platform.ReadyHandler(func() bool { return gw.Ready(bootTime()) })
+	go func() { failures <- gw.Run(ctx) }()
+	go func() { failures <- callers.Serve(opened.callers) }()
+	go serveHTTP(opened.ready, ready, failures)
+	if relayServer != nil {
+		go serveHTTP(opened.relay, relayServer.Handler(), failures)
 	}
 	if opened.metrics != nil {
-		go serveHTTP(opened.metrics, expvar.Handler(), failed)
+		go serveHTTP(opened.metrics, expvar.Handler(), failures)
 	}
-	return failed
+	return failures
 }
 
-// leave tells the other instances that this one stops.
-func leave(running *gateway.Gateway) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopReserve/2)
+// announceLeave tells the other instances that this one is stopping.
+func announceLeave(gw *gateway.Gateway) {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownReserve/2)
 	defer cancel()
-	running.Leave(ctx)
+	gw.Leave(ctx)
 }
 
+// recordReload records the result of reading the settings file again.
 func recordReload(recorder *event.Recorder, err error) {
 	if err != nil {
 		recorder.Record(event.SettingsRefused, event.Fields{Text: err.Error()})
 		return
 	}
-	recorder.Record(event.SettingsReloaded, event.Fields{Text: "no setting changes before the next start"})
+	recorder.Record(event.SettingsReloaded, event.Fields{Text: "the settings file is valid; changes take effect at the next start"})
 }
 
-// limitResources fits the runtime to the machine.
-func limitResources(settings gateway.Settings) {
+// setMemoryLimit sets the soft memory limit of the Go runtime to half of the
+// instance's memory limit, which is in megabytes.
+func setMemoryLimit(settings gateway.Settings) {
 	const megabyte = 1 << 20
 	debug.SetMemoryLimit(int64(settings.MemoryLimit) * megabyte / 2)
 }
 
+// newGateway returns the gateway, and the server that relays the store's contents to
+// other instances. Without a connection for peers there is no relay, and the server is
+// nil.
 func newGateway(settings gateway.Settings, epoch fleet.Epoch, log *gateway.Log, peers *net.UDPConn) (*gateway.Gateway, *relay.Server) {
 	dialer := platform.NetDialer()
-	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConnections}
+	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConnections}
 	client := &http.Client{Transport: transport}
-	var running *gateway.Gateway
-	servers := platform.NewDialer(bootTime, func(server fleet.ServerID) bool { return running.ReportUnresponsive(server) })
+	var gw *gateway.Gateway
+	backendDialer := platform.NewDialer(bootTime, func(server fleet.ServerID) bool { return gw.ReportUnresponsive(server) })
 	config := gateway.Config{
 		Clock:    bootTime,
 		Control:  platform.NewControl(),
-		Dialer:   servers,
+		Dialer:   backendDialer,
 		Epoch:    epoch,
 		Instance: settings.Instance,
 		Log:      log,
@@ -212,36 +223,37 @@
 		Store:    platform.NewStore(client, settings.StoreAddress),
 	}
 	if peers == nil {
-		running = gateway.New(config)
-		return running, nil
+		gw = gateway.New(config)
+		return gw, nil
 	}
 	endpoint := datagram.New(peers)
 	config.PeerTransport = endpoint
-	config.RelayClient = relay.NewClient(&http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConnections}})
-	running = gateway.New(config)
-	return running, relay.NewServer(endpoint.Secret(), running)
+	config.RelayClient = relay.NewClient(&http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConnections}})
+	gw = gateway.New(config)
+	return gw, relay.NewServer(endpoint.Secret(), gw)
 }
 
-func serveHTTP(listener net.Listener, handler http.Handler, failed chan<- error) {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderBound}
+// serveHTTP serves HTTP requests and sends the failure of the server to the channel.
+func serveHTTP(listener net.Listener, handler http.Handler, failures chan<- error) {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		failed <- err
+		failures <- err
 	}
 }
 
-// drain ends the sessions of a planned stop. New callers arrive until the
-// platform has taken the instance out of rotation, and are served.
-func drain(settings gateway.Settings, running *gateway.Gateway, callers *platform.CallerServer, listener net.Listener) {
-	began := bootTime()
-	running.Drain()
-	time.Sleep(min(rotationTime, settings.StopBound/2))
+// drain ends all sessions at a planned stop. New callers are still served until the
+// platform has stopped sending them to this instance.
+func drain(settings gateway.Settings, gw *gateway.Gateway, callers *platform.CallerServer, listener net.Listener) {
+	startedAt := bootTime()
+	gw.Drain()
+	time.Sleep(min(deregistrationDelay, settings.StopBound/2))
 	callers.CloseIdle()
-	for callers.Sessions() > 0 && bootTime().Before(began.Add(settings.StopBound/2)) {
-		time.Sleep(drainTick)
+	for callers.Sessions() > 0 && bootTime().Before(startedAt.Add(settings.StopBound/2)) {
+		time.Sleep(drainPollInterval)
 	}
 	callers.ExpireTransactions()
-	for callers.Sessions() > 0 && bootTime().Before(began.Add(settings.StopBound-stopReserve)) {
-		time.Sleep(drainTick)
+	for callers.Sessions() > 0 && bootTime().Before(startedAt.Add(settings.StopBound-shutdownReserve)) {
+		time.Sleep(drainPollInterval)
 	}
 	_ = listener.Close()
 }
--- a/cmd/keycmd.go
+++ b/cmd/keycmd.go
@@ -14,7 +14,7 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// keyOptions are the flags of "key new".
+// keyOptions holds the flags of "key new".
 type keyOptions struct {
 	iterations int
 	salt       string
@@ -26,30 +26,30 @@
 	var flags keyOptions
 	create := &cobra.Command{
 		Args: exactArgs(),
-		Example: "  # A key for a workspace that is in a sheet already:\n" +
+		Example: "  # A key for a workspace that is already in a sheet:\n" +
 			"  nutmegpier key new --sheet sheet.hujson --workspace die-room\n" +
 			"  # The first key of a new workspace, with a new salt:\n" +
 			"  nutmegpier key new",
-		Long: "New draws a key and prints it once, with the verifier for the sheet. The key is kept nowhere.\n" +
-			"All keys of a workspace share one salt and iteration count: take them from the sheet, or give\nboth as flags. Without either, a new salt is drawn.",
+		Long: "New generates a key and prints it once, with the verifier for the sheet. The key is not stored.\n" +
+			"All keys of a workspace share one salt and iteration count: take them from the sheet, or give\nboth as flags. Without either, a new salt is generated.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := flags.check(); err != nil {
+			if err := flags.validate(); err != nil {
 				return usageError(cmd, err)
 			}
 			return runKeyNew(cmd, options, flags)
 		},
-		Short: "Draw a new key",
+		Short: "Generate a new key",
 		Use:   "new",
 	}
 	create.Flags().IntVar(&flags.iterations, "iterations", sheet.DefaultIterations, "SCRAM iteration count of the workspace")
 	create.Flags().StringVar(&flags.salt, "salt", "", "SCRAM salt of the workspace, in base64")
-	create.Flags().StringVar(&flags.sheetFile, "sheet", "", "sheet file that has the workspace")
+	create.Flags().StringVar(&flags.sheetFile, "sheet", "", "sheet file that contains the workspace")
 	create.Flags().StringVar(&flags.workspace, "workspace", "", "workspace whose salt and iteration count are used")
-	return newGroupCmd("key", "Work with callers' keys", create)
+	return newGroupCmd("key", "Manage callers' keys", create)
 }
 
 func runKeyNew(cmd *cobra.Command, options *globalOptions, flags keyOptions) error {
-	if err := flags.complete(); err != nil {
+	if err := flags.resolveSalt(); err != nil {
 		return inputError(cmd, err)
 	}
 	generated, err := sheet.GenerateKey(rand.Reader, flags.salt, flags.iterations)
@@ -66,21 +66,23 @@
 	})
 }
 
-func (k *keyOptions) check() error {
+// validate checks the combination of flags.
+func (k *keyOptions) validate() error {
 	switch {
 	case (k.sheetFile == "") != (k.workspace == ""):
-		return errors.New("--sheet and --workspace belong together")
+		return errors.New("--sheet and --workspace must be given together")
 	case k.sheetFile != "" && k.salt != "":
-		return errors.New("--sheet and --salt exclude each other")
+		return errors.New("--sheet and --salt cannot be given together")
 	default:
 		return nil
 	}
 }
 
-// complete takes salt and iteration count from the sheet, or draws a salt.
-func (k *keyOptions) complete() error {
+// resolveSalt sets the salt and iteration count from the sheet if one is given.
+// Without a sheet and a salt it generates a salt.
+func (k *keyOptions) resolveSalt() error {
 	if k.sheetFile != "" {
-		return k.readSheet()
+		return k.loadFromSheet()
 	}
 	if k.salt != "" {
 		return nil
@@ -90,7 +92,9 @@
 	return err
 }
 
-func (k *keyOptions) readSheet() error {
+// loadFromSheet sets the salt and iteration count of the workspace from the sheet
+// file.
+func (k *keyOptions) loadFromSheet() error {
 	content, err := os.ReadFile(k.sheetFile)
 	if err != nil {
 		return err
--- a/cmd/measurecmd.go
+++ b/cmd/measurecmd.go
@@ -17,11 +17,13 @@
 	"github.com/nutmegpier/nutmegpier/measure"
 )
 
+// Defaults of the flags of measure.
 const (
-	measureDuration = 5 * time.Second
-	measureRepeat   = 5
+	defaultMeasureDuration = 5 * time.Second
+	defaultMeasureRepeat   = 5
 )
 
+// measureOptions holds the flags of the commands that run scenarios.
 type measureOptions struct {
 	databases  int
 	deployment string
@@ -39,7 +41,7 @@
 	compare := &cobra.Command{
 		Args:    exactArgs("BEFORE", "AFTER"),
 		Example: "  nutmegpier measure compare before.json after.json",
-		Long:    "Compare reads two results and compares the medians of each figure. A difference\nthat a two-sided rank test at the 5% level does not tell from noise is Noise.",
+		Long:    "Compare reads two results and compares the medians of each figure. A difference\nthat is not significant in a two-sided rank test at the 5% level has the verdict Noise.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return runMeasureCompare(cmd, options, args[0], args[1])
 		},
@@ -53,7 +55,7 @@
 	return newGroupCmd("measure", "Run load and experiments on instances and stand-ins in this process", children...)
 }
 
-// kebabCase returns a name in Pascal case as the name of a command.
+// kebabCase converts a name in Pascal case to a command name in kebab case.
 func kebabCase(name string) string {
 	var text strings.Builder
 	for i, letter := range name {
@@ -77,12 +79,12 @@
 	flags := command.Flags()
 	flags.IntVar(&local.databases, "databases", 0, "number of databases of each deployment; zero means all")
 	flags.StringVar(&local.deployment, "deployment", "", "name of the only deployment to run; empty means all")
-	flags.DurationVar(&local.duration, "duration", measureDuration, "length of each variant in each repetition")
+	flags.DurationVar(&local.duration, "duration", defaultMeasureDuration, "length of each variant in each repetition")
 	flags.IntVar(&local.instances, "instances", measure.DefaultInstances, "number of instances of each deployment")
 	flags.StringVar(&local.out, "out", "", "file for the result as JSON; empty means standard output")
-	flags.IntVar(&local.repeat, "repeat", measureRepeat, "number of repetitions")
+	flags.IntVar(&local.repeat, "repeat", defaultMeasureRepeat, "number of repetitions")
 	flags.StringVar(&local.report, "report", "", "file for the report as HTML; empty means none")
-	flags.Uint64Var(&local.seed, "seed", 1, "seed of the arrivals")
+	flags.Uint64Var(&local.seed, "seed", 1, "seed of the random request arrivals")
 	return command
 }
 
@@ -116,15 +118,16 @@
 	return writeOutput(cmd, local.report, func(w io.Writer) error { return measure.WriteReport(w, result) })
 }
 
-// deployments returns what to run, cut to the wanted number of databases.
+// deployments returns the deployments to run, each reduced to the requested number
+// of databases.
 func (o *measureOptions) deployments() ([]demo.Deployment, error) {
-	var chosen []demo.Deployment
+	var selected []demo.Deployment
 	for _, deployment := range demo.Deployments() {
 		if o.deployment != "" && !strings.EqualFold(deployment.Name, o.deployment) {
 			continue
 		}
 		if o.databases < 0 || o.databases > len(deployment.Databases) {
-			return nil, fmt.Errorf("--databases %d: %s has %d", o.databases, deployment.Name, len(deployment.Databases))
+			return nil, fmt.Errorf("--databases %d: deployment %s has %d databases", o.databases, deployment.Name, len(deployment.Databases))
 		}
 		if o.databases > 0 {
 			deployment.Databases = deployment.Databases[:o.databases]
@@ -132,15 +135,15 @@
 				deployment.Workspaces[i].Databases = deployment.Workspaces[i].Databases[:o.databases]
 			}
 		}
-		chosen = append(chosen, deployment)
+		selected = append(selected, deployment)
 	}
-	if len(chosen) == 0 {
-		return nil, fmt.Errorf("--deployment %q: unknown", o.deployment)
+	if len(selected) == 0 {
+		return nil, fmt.Errorf("--deployment %q: no such deployment", o.deployment)
 	}
-	return chosen, nil
+	return selected, nil
 }
 
-// writeOutput writes to a file, or to standard output without one.
+// writeOutput writes to a file, or to standard output if the name is empty.
 func writeOutput(cmd *cobra.Command, file string, write func(io.Writer) error) error {
 	if file == "" {
 		return write(cmd.OutOrStdout())
@@ -165,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	comparisons := orEmpty(measure.Compare(earlier, later))
+	comparisons := nonNil(measure.Compare(earlier, later))
 	return options.print(cmd, comparisons, func(out io.Writer) error {
 		for _, c := range comparisons {
 			fmt.Fprintf(out, "%-10s %-17s %-14s %-24s %12.4g %12.4g %-5s p=%.3f %s\n",
@@ -175,6 +178,7 @@
 	})
 }
 
+// readMeasureResult reads a result that a run wrote as JSON.
 func readMeasureResult(cmd *cobra.Command, file string) (*measure.Result, error) {
 	opened, err := os.Open(file)
 	if err != nil {
--- a/cmd/options.go
+++ b/cmd/options.go
@@ -25,9 +25,10 @@
 	formatText = "text"
 )
 
+// defaultAdmin is the default URL of the administration API.
 const defaultAdmin = "http://127.0.0.1:6434"
 
-// globalOptions are the flags that all commands share.
+// globalOptions holds the flags that all commands share.
 type globalOptions struct {
 	admin     []string
 	format    string
@@ -35,7 +36,8 @@
 	tokenFile string
 }
 
-func (o *globalOptions) check() error {
+// validate checks the values of the flags.
+func (o *globalOptions) validate() error {
 	if o.format != formatJSON && o.format != formatText {
 		return &Error{Err: fmt.Errorf("--format %q: want text or json", o.format), Op: "nutmegpier", Status: exitUsage}
 	}
@@ -47,19 +49,19 @@
 	return nil
 }
 
-// client returns a client for the only instance.
+// client returns a client for the instance of --admin, which must be given once.
 func (o *globalOptions) client(cmd *cobra.Command) (*operator.Client, error) {
 	clients, err := o.clients(cmd)
 	if err != nil {
 		return nil, err
 	}
 	if len(clients) != 1 {
-		return nil, usageError(cmd, errors.New("want one --admin URL"))
+		return nil, usageError(cmd, errors.New("want exactly one --admin URL"))
 	}
 	return clients[0], nil
 }
 
-// clients returns a client for each instance.
+// clients returns a client for each instance of --admin.
 func (o *globalOptions) clients(cmd *cobra.Command) ([]*operator.Client, error) {
 	if o.tokenFile == "" {
 		return nil, usageError(cmd, errors.New("--token-file is missing"))
@@ -75,6 +77,8 @@
 	return clients, nil
 }
 
+// context returns the context of a call to an instance, with the timeout of
+// --timeout.
 func (o *globalOptions) context(cmd *cobra.Command) (context.Context, context.CancelFunc) {
 	parent := cmd.Context()
 	if parent == nil {
@@ -83,15 +87,16 @@
 	return context.WithTimeout(parent, o.timeout)
 }
 
-// orEmpty makes the JSON form of a list without entries [] rather than null.
-func orEmpty[T any](list []T) []T {
+// nonNil returns an empty list instead of nil, so that its JSON form is [] and not
+// null.
+func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
 	return list
 }
 
-// print writes the value as JSON, or calls text for the text form.
+// print writes the value as JSON, or calls text to write its text form.
 func (o *globalOptions) print(cmd *cobra.Command, value any, text func(out io.Writer) error) error {
 	out := cmd.OutOrStdout()
 	if o.format == formatText {
@@ -103,8 +108,8 @@
 	return encoder.Encode(value)
 }
 
-// printPublication prints what became of a publication and returns the error
-// that leads to its exit status.
+// printPublication prints the outcome of a publication. It returns an error with the
+// exit status of the outcome, or nil if the publication succeeded.
 func (o *globalOptions) printPublication(cmd *cobra.Command, publication operator.Publication) error {
 	err := o.print(cmd, publication, func(out io.Writer) error {
 		for _, line := range append(publication.Changes, publication.Problems...) {
@@ -119,14 +124,16 @@
 	return publicationError(cmd, publication)
 }
 
+// register defines the flags.
 func (o *globalOptions) register(flags *pflag.FlagSet) {
 	flags.StringSliceVar(&o.admin, "admin", []string{defaultAdmin}, "URL of an instance's administration API; timeline accepts several")
 	flags.StringVar(&o.format, "format", formatText, "output format: text or json")
-	flags.DurationVar(&o.timeout, "timeout", 10*time.Second, "time that a call to an instance may take")
+	flags.DurationVar(&o.timeout, "timeout", 10*time.Second, "maximum duration of a call to an instance")
 	flags.StringVar(&o.tokenFile, "token-file", "", "file with the bearer token for the administration API")
 }
 
-// callError gives an error of the administration API its exit status.
+// callError returns an error of a call to the administration API with its exit
+// status.
 func callError(cmd *cobra.Command, err error) error {
 	status := exitFailure
 	var failed *operator.Error
@@ -141,6 +148,8 @@
 	return &Error{Err: err, Op: cmd.CommandPath(), Status: status}
 }
 
+// publicationError returns the error for the outcome of a publication, or nil if it
+// succeeded.
 func publicationError(cmd *cobra.Command, publication operator.Publication) error {
 	fail := func(status int, message string) error {
 		return &Error{Err: errors.New(message), Op: cmd.CommandPath(), Status: status}
@@ -157,6 +166,6 @@
 	case sheet.OutcomeUnsafe:
 		return fail(exitUsage, "the change is unsafe, nothing was changed; --force accepts it")
 	default:
-		return fail(exitUnknown, "it is unknown whether the change took effect; look at 'nutmegpier sheet history'")
+		return fail(exitUnknown, "it is unknown whether the change took effect; check 'nutmegpier sheet history'")
 	}
 }
--- a/cmd/process_test.go
+++ b/cmd/process_test.go
@@ -23,14 +23,15 @@
 )
 
 const (
-	// processPoll is the time between looks at a condition of another process.
-	processPoll = 20 * time.Millisecond
+	// processPollInterval is the interval at which a condition of another process
+	// is checked.
+	processPollInterval = 20 * time.Millisecond
 	// processTimeout bounds each wait for another process.
 	processTimeout = time.Minute
 )
 
-// TestProcesses guards against a path that works only inside one process: it
-// runs the stand-ins and each instance as processes of their own.
+// TestProcesses guards against features that work only if all instances run in one
+// process: it runs the stand-ins and each instance as separate processes.
 func TestProcesses(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
@@ -38,13 +39,13 @@
 			"adminurl":    setAdminURL,
 			"awaitclosed": awaitClosed,
 			"awaitevent":  awaitEvent,
-			"awaitserved": awaitServed,
+			"awaitserved": awaitServing,
 			"awaitstatus": awaitStatus,
-			"hangup":      hangUp,
+			"hangup":      sendHangup,
 			"insession":   runInSession,
 			"opensession": openSession,
 			"sql":         runSQL,
-			"status":      checkStatus,
+			"status":      checkExitStatus,
 			"timeline":    runTimeline,
 		},
 		Dir:                 "testdata/processes",
@@ -56,14 +57,15 @@
 	})
 }
 
-// sessionsKey is the key of a script's open sessions by name.
+// sessionsKey is the key under which a script's open sessions are stored by name.
 type sessionsKey struct{}
 
 func sessions(ts *testscript.TestScript) map[string]*pgx.Conn {
 	return ts.Value(sessionsKey{}).(map[string]*pgx.Conn)
 }
 
-// adminClient returns a client for the instance of a URL file.
+// adminClient returns a client for the administration API of the instance whose URLs
+// are in a file: the administration URL, and then the connection URLs.
 func adminClient(ts *testscript.TestScript, urls, token string) *operator.Client {
 	admin, _, _ := strings.Cut(ts.ReadFile(urls), "\n")
 	return operator.NewClient(http.DefaultClient, admin, strings.TrimSpace(ts.ReadFile(token)))
@@ -76,8 +78,8 @@
 	ts.Setenv(args[0], admin)
 }
 
-// awaitClosed runs statements in a session until the connection is lost with
-// an SQLSTATE: awaitclosed NAME SQLSTATE.
+// awaitClosed runs statements in a session until the server closes it with an
+// SQLSTATE: awaitclosed NAME SQLSTATE.
 func awaitClosed(ts *testscript.TestScript, _ bool, args []string) {
 	conn := sessions(ts)[args[0]]
 	awaitCondition(ts, "end of session "+args[0], func(ctx context.Context) bool {
@@ -90,7 +92,7 @@
 	})
 }
 
-// awaitEvent waits for an event of an instance whose text matches:
+// awaitEvent waits until an instance has recorded an event whose text matches:
 // awaitevent URLFILE TOKENFILE NUMBER PATTERN.
 func awaitEvent(ts *testscript.TestScript, _ bool, args []string) {
 	client := adminClient(ts, args[0], args[1])
@@ -106,7 +108,7 @@
 	})
 }
 
-// awaitStatus waits until the status of an instance, as status prints it,
+// awaitStatus waits until the status of an instance, as the status command prints it,
 // matches: awaitstatus URLFILE TOKENFILE PATTERN.
 func awaitStatus(ts *testscript.TestScript, neg bool, args []string) {
 	client := adminClient(ts, args[0], args[1])
@@ -122,8 +124,8 @@
 	})
 }
 
-// hangUp sends SIGHUP to a background command: hangup NAME.
-func hangUp(ts *testscript.TestScript, _ bool, args []string) {
+// sendHangup sends SIGHUP to a background command: hangup NAME.
+func sendHangup(ts *testscript.TestScript, _ bool, args []string) {
 	for _, command := range ts.BackgroundCmds() {
 		if slices.Contains(command.Args, args[0]) {
 			ts.Check(command.Process.Signal(syscall.SIGHUP))
@@ -133,7 +135,8 @@
 	ts.Fatalf("no background command has the argument %s", args[0])
 }
 
-// openSession opens a session that stays open: opensession NAME URLFILE.
+// openSession opens a session that stays open until the script ends:
+// opensession NAME URLFILE.
 func openSession(ts *testscript.TestScript, _ bool, args []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), processTimeout)
 	defer cancel()
@@ -153,7 +156,7 @@
 	}
 }
 
-// awaitFile waits until another process has written a file: awaitfile FILE.
+// awaitFile waits until another process has written to a file: awaitfile FILE.
 func awaitFile(ts *testscript.TestScript, _ bool, args []string) {
 	awaitCondition(ts, "file "+args[0], func(context.Context) bool {
 		info, err := os.Stat(ts.MkAbs(args[0]))
@@ -161,9 +164,10 @@
 	})
 }
 
-// awaitServed waits until an instance is valid and holds a share of each limit:
+// awaitServing waits until an instance has a validity lease and holds a share of each
+// rate limit:
 // awaitserved URLFILE TOKENFILE.
-func awaitServed(ts *testscript.TestScript, _ bool, args []string) {
+func awaitServing(ts *testscript.TestScript, _ bool, args []string) {
 	client := adminClient(ts, args[0], args[1])
 	awaitCondition(ts, "instance of "+args[0], func(ctx context.Context) bool {
 		status, err := client.Status(ctx)
@@ -179,8 +183,8 @@
 	})
 }
 
-// runSQL runs a statement through the instance of a URL file and prints its
-// rows: sql URLFILE STATEMENT.
+// runSQL runs a statement through an instance and prints the rows:
+// sql URLFILE STATEMENT.
 func runSQL(ts *testscript.TestScript, neg bool, args []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), processTimeout)
 	defer cancel()
@@ -200,21 +204,24 @@
 	}
 }
 
-// runTimeline shows events through an instance: timeline URLFILE TOKENFILE FLAG...
+// runTimeline runs the timeline command on an instance:
+// timeline URLFILE TOKENFILE FLAG...
 func runTimeline(ts *testscript.TestScript, _ bool, args []string) {
 	admin, _, _ := strings.Cut(ts.ReadFile(args[0]), "\n")
 	ts.Check(ts.Exec("nutmegpier", append([]string{"timeline", "--admin", admin, "--token-file", args[1]}, args[2:]...)...))
 }
 
-func awaitCondition(ts *testscript.TestScript, name string, met func(ctx context.Context) bool) {
+// awaitCondition waits until the condition is met, and fails the script after
+// processTimeout.
+func awaitCondition(ts *testscript.TestScript, name string, condition func(ctx context.Context) bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), processTimeout)
 	defer cancel()
-	ticker := time.NewTicker(processPoll)
+	ticker := time.NewTicker(processPollInterval)
 	defer ticker.Stop()
-	for !met(ctx) {
+	for !condition(ctx) {
 		select {
 		case <-ctx.Done():
-			ts.Fatalf("%s: not there after %v", name, processTimeout)
+			ts.Fatalf("%s: not met after %v", name, processTimeout)
 		case <-ticker.C:
 		}
 	}
--- a/cmd/script_test.go
+++ b/cmd/script_test.go
@@ -24,17 +24,17 @@
 
 const token = "script-token"
 
-// scriptTime is the time of all that scripts see.
+// scriptTime is the time of all events and publications in the scripts.
 var scriptTime = time.Date(2026, 3, 2, 6, 30, 0, 0, time.UTC)
 
-// publisher keeps sheets in memory. Comments of a publication choose outcomes
-// that are hard to bring about.
-type publisher struct {
+// memoryPublisher stores sheets in memory. The comment of a publication selects an
+// outcome that would be hard to cause otherwise.
+type memoryPublisher struct {
 	mu     sync.Mutex
 	sheets []operator.SheetVersion
 }
 
-func (p *publisher) List(context.Context, int) ([]operator.SheetSummary, error) {
+func (p *memoryPublisher) List(context.Context, int) ([]operator.SheetSummary, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var history []operator.SheetSummary
@@ -44,7 +44,7 @@
 	return history, nil
 }
 
-func (p *publisher) Publish(_ context.Context, request sheet.PublishRequest) (operator.Publication, error) {
+func (p *memoryPublisher) Publish(_ context.Context, request sheet.PublishRequest) (operator.Publication, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	head := p.sheets[len(p.sheets)-1]
@@ -73,36 +73,36 @@
 	return published, nil
 }
 
-func (p *publisher) Sheet(context.Context, fleet.SheetVersion) (operator.SheetVersion, error) {
+func (p *memoryPublisher) Sheet(context.Context, fleet.SheetVersion) (operator.SheetVersion, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sheets[len(p.sheets)-1], nil
 }
 
-func (p *publisher) Status() operator.Status {
+func (p *memoryPublisher) Status() operator.Status {
 	return operator.Status{DataCentre: "gt-1", Instance: "pier-1", Lifecycle: "Serving", Valid: true}
 }
 
-// TestMain lets scripts run the real command line.
+// TestMain makes the nutmegpier command available to scripts.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"nutmegpier": func() { os.Exit(cmd.Main(os.Args[1:], os.Stdout, os.Stderr)) },
 	})
 }
 
-// TestScripts guards against changes of output and exit statuses that
-// operators and their scripts rely on.
+// TestScripts guards against changes of the output and the exit statuses that
+// operators and their scripts depend on.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
-		Cmds:                map[string]func(ts *testscript.TestScript, neg bool, args []string){"status": checkStatus},
+		Cmds:                map[string]func(ts *testscript.TestScript, neg bool, args []string){"status": checkExitStatus},
 		Dir:                 "testdata/script",
 		RequireExplicitExec: true,
 		Setup:               setup,
 	})
 }
 
-// checkStatus runs a command and compares its exit status: status N command...
-func checkStatus(ts *testscript.TestScript, _ bool, args []string) {
+// checkExitStatus runs a command and checks its exit status: status N COMMAND...
+func checkExitStatus(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	got := 0
@@ -118,11 +118,12 @@
 	}
 }
 
-// setup starts two instances' administration APIs for each script.
+// setup starts the administration APIs of two instances for each script, and reserves
+// a URL on which nothing listens.
 func setup(env *testscript.Env) error {
 	sum := sha256.Sum256([]byte(token))
 	tokens := []settings.Token{{Role: settings.RolePublish, TokenSHA256: hex.EncodeToString(sum[:])}}
-	store := &publisher{sheets: make([]operator.SheetVersion, 1)}
+	store := &memoryPublisher{sheets: make([]operator.SheetVersion, 1)}
 	for _, name := range []string{"1", "2"} {
 		recorder := event.New(fleet.InstanceID("pier-"+name), 1, func() time.Time { return scriptTime }, event.NewLogger(io.Discard, "json", event.LevelInfo), 100)
 		recorder.Record(event.InstanceServing, event.Fields{})
--- a/cmd/servecmd.go
+++ b/cmd/servecmd.go
@@ -30,8 +30,8 @@
 	return command
 }
 
-func runServeCmd(cmd *cobra.Command, config string) error {
-	configured, err := readSettings(config)
+func runServeCmd(cmd *cobra.Command, file string) error {
+	configured, err := readSettings(file)
 	if err != nil {
 		return inputError(cmd, err)
 	}
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	running, err := instance.Open(instance.Options{
+	inst, err := instance.Open(instance.Options{
 		Listeners: listeners,
 		LogOutput: cmd.ErrOrStderr(),
 		Settings:  configured,
@@ -52,20 +52,20 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	go reloadSettings(ctx, reload, config, running)
-	return running.Run(ctx)
+	go reloadSettings(ctx, reload, file, inst)
+	return inst.Run(ctx)
 }
 
-// reloadSettings reads the settings file again at each signal. Settings with
-// problems change nothing.
-func reloadSettings(ctx context.Context, reload <-chan os.Signal, config string, running *instance.Instance) {
+// reloadSettings reads the settings file again at each signal and applies it. An
+// invalid file changes nothing.
+func reloadSettings(ctx context.Context, reload <-chan os.Signal, file string, inst *instance.Instance) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-reload:
-			configured, err := readSettings(config)
-			running.Reload(configured, err)
+			configured, err := readSettings(file)
+			inst.Reload(configured, err)
 		}
 	}
 }
--- a/cmd/sheetcmd.go
+++ b/cmd/sheetcmd.go
@@ -17,7 +17,7 @@
 )
 
 func newSheetCmd(options *globalOptions) *cobra.Command {
-	return newGroupCmd("sheet", "Work with the operators' sheet",
+	return newGroupCmd("sheet", "Check, compare, publish and show sheets",
 		newSheetCheckCmd(options),
 		newSheetDiffCmd(options),
 		newSheetHistoryCmd(options),
@@ -30,7 +30,7 @@
 	return &cobra.Command{
 		Args:    exactArgs("FILE"),
 		Example: "  nutmegpier sheet check sheet.hujson",
-		Long:    "Check reads a sheet and reports all its problems at once, each with line and column. It calls no\ninstance. The exit status is 2 when there are any problems.",
+		Long:    "Check reads a sheet and reports all its problems, each with line and column. It calls no\ninstance. The exit status is 2 if there are any problems.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return runSheetCheck(cmd, options, args[0])
 		},
@@ -63,7 +63,7 @@
 		Short: "List published sheets, newest first",
 		Use:   "history",
 	}
-	history.Flags().IntVar(&limit, "limit", 20, "largest number of sheets")
+	history.Flags().IntVar(&limit, "limit", 20, "maximum number of sheets")
 	return history
 }
 
@@ -75,8 +75,8 @@
 		Example: "  nutmegpier sheet show --token-file token      # prints the version in force\n" +
 			"  nutmegpier sheet publish sheet.hujson --base 41 --dry-run --token-file token\n" +
 			"  nutmegpier sheet publish sheet.hujson --base 41 --comment \"more for die-room\" --token-file token",
-		Long: "Publish makes the sheet the next version after --base, the version that you saw. When another\n" +
-			"sheet was published since, the exit status is 3 and nothing is changed. The exit status is 4\nwhen it is unknown whether the sheet took effect. Unsafe sheets need --force.",
+		Long: "Publish makes the sheet the next version after --base, the version that you edited. If another\n" +
+			"sheet was published since, the exit status is 3 and nothing is changed. The exit status is 4\nif it is unknown whether the sheet took effect. Unsafe sheets need --force.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !cmd.Flags().Changed("base") {
 				return usageError(cmd, errors.New("--base is missing"))
@@ -87,9 +87,9 @@
 		Short: "Publish a sheet file",
 		Use:   "publish FILE --base VERSION",
 	}
-	publish.Flags().Uint64Var(&base, "base", 0, "version that you saw; 0 for the first sheet")
+	publish.Flags().Uint64Var(&base, "base", 0, "version that you edited; 0 for the first sheet")
 	publish.Flags().StringVar(&request.Comment, "comment", "", "comment for the history")
-	publish.Flags().BoolVar(&request.DryRun, "dry-run", false, "only report what would change")
+	publish.Flags().BoolVar(&request.DryRun, "dry-run", false, "report what would change without publishing")
 	publish.Flags().BoolVar(&request.Force, "force", false, "accept unsafe changes")
 	return publish
 }
@@ -130,7 +130,7 @@
 		return err
 	}
 	changes := sheet.Diff(before, after)
-	return options.print(cmd, orEmpty(changes), func(out io.Writer) error {
+	return options.print(cmd, nonNil(changes), func(out io.Writer) error {
 		for _, change := range changes {
 			fmt.Fprintln(out, change)
 		}
@@ -138,7 +138,8 @@
 	})
 }
 
-// diffBase returns the sheet of the file, or the one in force without a file.
+// diffBase returns the sheet to compare with: that of the file if one is given,
+// otherwise the one in force.
 func diffBase(cmd *cobra.Command, options *globalOptions, files []string) (sheet.Sheet, error) {
 	if len(files) > 0 {
 		return readSheet(cmd, files[0])
@@ -159,6 +160,7 @@
 	return sheet.Parse("in force", []byte(current.Content))
 }
 
+// readSheet reads and parses a sheet file.
 func readSheet(cmd *cobra.Command, file string) (sheet.Sheet, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -182,9 +184,10 @@
 	if err != nil {
 		return callError(cmd, err)
 	}
-	return options.print(cmd, orEmpty(history), func(out io.Writer) error { return renderHistory(out, history) })
+	return options.print(cmd, nonNil(history), func(out io.Writer) error { return renderHistory(out, history) })
 }
 
+// renderHistory writes a table of published sheets.
 func renderHistory(out io.Writer, history []operator.SheetSummary) error {
 	const padding = 2
 	w := tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
@@ -222,7 +225,7 @@
 	if len(args) > 0 {
 		parsed, err := strconv.ParseUint(args[0], 10, 64)
 		if err != nil {
-			return usageError(cmd, fmt.Errorf("version %q: want a whole number", args[0]))
+			return usageError(cmd, fmt.Errorf("version %q: want a non-negative integer", args[0]))
 		}
 		version = parsed
 	}
--- a/cmd/statuscmd.go
+++ b/cmd/statuscmd.go
@@ -8,7 +8,7 @@
 	return &cobra.Command{
 		Args:    exactArgs(),
 		Example: "  nutmegpier status --admin http://127.0.0.1:6434 --token-file token\n  nutmegpier status --format json --token-file token",
-		Long:    "Status prints the state of one instance and what it knows of the others: instances, servers,\npools, workspaces and what is out of service.",
+		Long:    "Status prints the state of one instance and what it knows of the others: instances, servers,\npools, workspaces, and the data centres and servers that are out of service.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runStatus(cmd, options)
 		},
--- a/cmd/timelinecmd.go
+++ b/cmd/timelinecmd.go
@@ -10,7 +10,7 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// timelineOptions are the flags of "timeline".
+// timelineOptions holds the flags of "timeline".
 type timelineOptions struct {
 	archived  bool
 	database  string
@@ -26,7 +26,7 @@
 		Args: exactArgs(),
 		Example: "  nutmegpier timeline --admin http://127.0.0.1:6434 --admin http://127.0.0.2:6434 --token-file token\n" +
 			"  nutmegpier timeline --database orders --event 403 --token-file token",
-		Long: "Timeline prints the recorded events of one or several instances, oldest first, causes before\n" +
+		Long: "Timeline prints the recorded events of one or more instances, oldest first and causes before\n" +
 			"effects, with one column for each instance. An instance that does not answer is reported on\nstandard error; the command fails only when none answers. docs/events.md lists the events.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runTimeline(cmd, options, flags)
@@ -34,10 +34,10 @@
 		Short: "Show recorded events of several instances",
 		Use:   "timeline",
 	}
-	timeline.Flags().BoolVar(&flags.archived, "archived", false, "show the snapshots of all instances in the object store, those that have ended included")
+	timeline.Flags().BoolVar(&flags.archived, "archived", false, "show the snapshots of all instances in the object store, including stopped instances")
 	timeline.Flags().StringVar(&flags.database, "database", "", "only events of this database")
 	timeline.Flags().Uint32Var(&flags.event, "event", 0, "only events with this number")
-	timeline.Flags().IntVar(&flags.limit, "limit", 200, "largest number of events of each instance, the latest; 0 for all")
+	timeline.Flags().IntVar(&flags.limit, "limit", 200, "maximum number of events of each instance, the latest ones; 0 for all")
 	timeline.Flags().StringVar(&flags.session, "session", "", "only events of this session")
 	timeline.Flags().StringVar(&flags.workspace, "workspace", "", "only events of this workspace")
 	return timeline
@@ -69,7 +69,7 @@
 		return callError(cmd, lastErr)
 	}
 	merged := event.Merge(lists...)
-	return options.print(cmd, orEmpty(merged), func(out io.Writer) error {
+	return options.print(cmd, nonNil(merged), func(out io.Writer) error {
 		_, err := io.WriteString(out, event.Render(merged))
 		return err
 	})
--- a/cmd/versioncmd.go
+++ b/cmd/versioncmd.go
@@ -11,7 +11,7 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// version is what the binary was built from.
+// version describes the build of the binary.
 type version struct {
 	Go          string
 	Revision    string
@@ -39,7 +39,8 @@
 	})
 }
 
-// builtVersion returns what the running binary was built from.
+// builtVersion returns the version of the running binary from its build
+// information.
 func builtVersion() version {
 	built := version{Go: runtime.Version(), Revision: "unknown", SheetFormat: sheet.FormatVersion, Version: "unknown"}
 	if info, known := debug.ReadBuildInfo(); known {
--- a/event/boundedwriter.go
+++ b/event/boundedwriter.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// BoundedWriter passes lines on to a writer that may block, without blocking
-// itself: lines that come faster than they are written are dropped and counted.
-// It is safe for concurrent use.
+// BoundedWriter queues lines for a writer that may block, and never blocks itself:
+// when the queue is full, lines are dropped and counted. It is safe for concurrent
+// use.
 type BoundedWriter struct {
 	dropped atomic.Uint64
-	done    chan struct{}
+	// drained is closed when all queued lines have been written after Close.
+	drained chan struct{}
 	lines   chan []byte
 
 	mu     sync.Mutex
@@ -21,31 +22,32 @@
 
 var _ io.Writer = &BoundedWriter{}
 
-// NewBoundedWriter returns a writer that holds at most so many lines.
+// NewBoundedWriter returns a writer whose queue holds at most the given number of
+// lines.
 func NewBoundedWriter(out io.Writer, lines int) *BoundedWriter {
-	w := &BoundedWriter{done: make(chan struct{}), lines: make(chan []byte, lines)}
+	w := &BoundedWriter{drained: make(chan struct{}), lines: make(chan []byte, lines)}
 	go func() {
-		defer close(w.done)
+		defer close(w.drained)
 		for line := range w.lines {
-			// A log that can't be written has nowhere to be reported.
+			// A failure to write the log cannot be reported anywhere.
 			_, _ = out.Write(line)
 		}
 	}()
 	return w
 }
 
-// Close writes what is held, for at most the bound.
-func (w *BoundedWriter) Close(bound time.Duration) {
+// Close waits until the queued lines are written, or until the timeout.
+func (w *BoundedWriter) Close(timeout time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
 		w.closed = true
 		close(w.lines)
 	}
 	w.mu.Unlock()
-	timer := time.NewTimer(bound)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-w.done:
+	case <-w.drained:
 	case <-timer.C:
 	}
 }
@@ -55,7 +57,7 @@
 	return w.dropped.Load()
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write queues one line, or drops it. It never blocks and never fails.
 func (w *BoundedWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/event/boundedwriter_test.go
+++ b/event/boundedwriter_test.go
@@ -10,7 +10,7 @@
 	"github.com/nutmegpier/nutmegpier/event"
 )
 
-// blockedWriter blocks until it is released.
+// blockedWriter is a writer that blocks until it is released.
 type blockedWriter struct {
 	bytes.Buffer
 	release chan struct{}
@@ -21,8 +21,8 @@
 	return w.Buffer.Write(line)
 }
 
-// TestBoundedWriter guards against requests that wait for a log which nobody
-// reads, and against lines that are lost although there is room.
+// TestBoundedWriter guards against requests that block because nobody reads the log,
+// and against lines that are lost although the queue has room.
 func TestBoundedWriter(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	w := event.NewBoundedWriter(out, 2)
@@ -31,7 +31,7 @@
 			t.Fatalf("Write() = %d, %v", n, err)
 		}
 	}
-	// One line may be with the blocked writer besides the two that are held.
+	// Besides the two queued lines, the blocked writer may hold one.
 	if dropped := w.Dropped(); dropped != 7 && dropped != 8 {
 		t.Errorf("%d lines were dropped, want 7 or 8", dropped)
 	}
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -8,7 +8,7 @@
 // Level is the severity of an event.
 type Level string
 
-// Levels in rising order.
+// Levels, in increasing order of severity.
 const (
 	LevelDebug   Level = "debug"
 	LevelInfo    Level = "info"
@@ -16,14 +16,14 @@
 	LevelError   Level = "error"
 )
 
-// Name is the short name of an event.
+// Name is the name of an event in logs.
 type Name string
 
-// Number identifies an event in logs. A number is never used again for
-// another event.
+// Number identifies an event in logs. The number of a removed event is never reused
+// for another event.
 type Number uint32
 
-// Numbers of all events. The hundreds tell the parts of the system apart.
+// Numbers of all events. The hundreds digit identifies the part of the system.
 const (
 	InstanceStarted      Number = 101
 	InstanceServing      Number = 102
@@ -84,7 +84,7 @@
 	RestoreRequested     Number = 705
 )
 
-// Entry describes one event.
+// Entry describes one event of the catalogue.
 type Entry struct {
 	// Fields lists the optional fields that the event carries.
 	Fields  []string
@@ -97,76 +97,77 @@
 // Catalogue returns all events, ordered by number.
 func Catalogue() []Entry {
 	return []Entry{
-		entry(InstanceStarted, "InstanceStarted", LevelInfo, "The process has read its settings and listens.", "Text"),
+		entry(InstanceStarted, "InstanceStarted", LevelInfo, "The process has read its settings, and its listeners are open.", "Text"),
 		entry(InstanceServing, "InstanceServing", LevelInfo, "The instance admits requests."),
-		entry(InstanceDraining, "InstanceDraining", LevelInfo, "A planned stop began. Running transactions finish; new connections are refused.", "Text"),
+		entry(InstanceDraining, "InstanceDraining", LevelInfo, "A planned stop has begun. Running transactions may finish; new connections are refused.", "Text"),
 		entry(InstanceStopped, "InstanceStopped", LevelInfo, "The planned stop is complete.", "Text"),
-		entry(DataCentreChanged, "DataCentreChanged", LevelInfo, "The data centre of the instance was taken out or is back in service.", "Text"),
-		entry(SettingsReloaded, "SettingsReloaded", LevelInfo, "The settings file was read again and is in force. Text lists the changes.", "Text"),
-		entry(SettingsRefused, "SettingsRefused", LevelError, "The settings file was read again and has problems. The earlier settings stay in force.", "Text"),
+		entry(DataCentreChanged, "DataCentreChanged", LevelInfo, "The data centre of the instance was taken out of service or brought back into service.", "Text"),
+		entry(SettingsReloaded, "SettingsReloaded", LevelInfo, "The settings file was read again and is valid. Text lists the settings that changed and those that need a restart.", "Text"),
+		entry(SettingsRefused, "SettingsRefused", LevelError, "The settings file was read again and is invalid. The previous settings stay in force. Text describes the problems.", "Text"),
 		entry(SheetInForce, "SheetInForce", LevelInfo, "A newer sheet is in force on this instance. Text holds its version.", "Text"),
-		entry(SheetRefused, "SheetRefused", LevelError, "A fetched sheet cannot be read. The instance does not serve without it.", "Text"),
-		entry(ValidityGained, "ValidityGained", LevelInfo, "The instance proved that its sheet is in force.", "Text"),
-		entry(ValidityLost, "ValidityLost", LevelError, "The validity lease expired. Requests are refused as not run.", "Text"),
-		entry(RosterInForce, "RosterInForce", LevelInfo, "A newer roster generation is in force. Text holds generation and members.", "Text"),
-		entry(MemberSuspected, "MemberSuspected", LevelWarning, "Another instance has been silent for too long.", "Text"),
-		entry(MemberHeard, "MemberHeard", LevelInfo, "A silent instance answers again.", "Text"),
+		entry(SheetRefused, "SheetRefused", LevelError, "A sheet cannot be decoded. The instance cannot serve without it.", "Text"),
+		entry(ValidityGained, "ValidityGained", LevelInfo, "The instance got a validity lease: its sheet is in force, and it may serve requests.", "Text"),
+		entry(ValidityLost, "ValidityLost", LevelError, "The validity lease expired. Requests are refused without being run.", "Text"),
+		entry(RosterInForce, "RosterInForce", LevelInfo, "A newer generation of the roster, the list of member instances, is in force. Text holds the generation and the members.", "Text"),
+		entry(MemberSuspected, "MemberSuspected", LevelWarning, "Another instance has not answered for too long.", "Text"),
+		entry(MemberHeard, "MemberHeard", LevelInfo, "A suspected instance answers again.", "Text"),
 		entry(MemberRemoved, "MemberRemoved", LevelWarning, "An instance was removed from the roster.", "Text"),
-		entry(SharesTransferred, "SharesTransferred", LevelDebug, "A part of a rate or connection share moved to another instance.", "Server", "Text", "Workspace"),
-		entry(TransferRecovered, "TransferRecovered", LevelWarning, "A transfer of shares was not confirmed and was settled by query.", "Text"),
-		entry(StoreUnavailable, "StoreUnavailable", LevelWarning, "The platform's store does not answer. Traffic continues; publishing fails.", "Text"),
+		entry(SharesTransferred, "SharesTransferred", LevelDebug, "A part of a rate limit or connection budget was transferred to another instance.", "Server", "Text", "Workspace"),
+		entry(TransferRecovered, "TransferRecovered", LevelWarning, "A transfer of shares was not confirmed. Its outcome was determined by asking the other instance.", "Text"),
+		entry(StoreUnavailable, "StoreUnavailable", LevelWarning, "The platform's store does not answer. Requests are still served; publishing a sheet fails.", "Text"),
 		entry(StoreAvailable, "StoreAvailable", LevelInfo, "The platform's store answers again.", "Text"),
-		entry(EntryRefused, "EntryRefused", LevelWarning, "A row of the store can't be read and is passed over.", "Server", "Text"),
-		entry(LeaderChanged, "LeaderChanged", LevelInfo, "This instance became, or is no more, the one that orders promotions.", "Text"),
-		entry(MembershipLost, "MembershipLost", LevelWarning, "The instance's own row was not written for too long. It uses no primary and no rate.", "Text"),
-		entry(MembershipGained, "MembershipGained", LevelInfo, "The instance's own row was written."),
-		entry(RelayLost, "RelayLost", LevelWarning, "The instance that hands on what it reads from the store gave no answer. This one reads for itself for a while.", "Text"),
-		entry(PeerSilent, "PeerSilent", LevelWarning, "Another instance did not answer. The leader hears of the news with its next look.", "Text"),
+		entry(EntryRefused, "EntryRefused", LevelWarning, "A row of the store or a message between instances cannot be decoded or encoded, and is ignored.", "Server", "Text"),
+		entry(LeaderChanged, "LeaderChanged", LevelInfo, "This instance became or stopped being the leader, which orders promotions.", "Text"),
+		entry(MembershipLost, "MembershipLost", LevelWarning, "The instance failed to write its membership row for too long. Until it succeeds, it uses no primary and has no share of the rate limits.", "Text"),
+		entry(MembershipGained, "MembershipGained", LevelInfo, "The instance wrote its membership row again, or for the first time."),
+		entry(RelayLost, "RelayLost", LevelWarning, "The instance that relays the contents of the store to this instance did not answer. For a while, this instance reads the store directly.", "Text"),
+		entry(PeerSilent, "PeerSilent", LevelWarning, "The leader did not answer a notification of changed membership rows. It reads them at its next regular poll.", "Text"),
 		entry(PrimarySuspected, "PrimarySuspected", LevelWarning, "The primary of a database may have failed.", "Database", "Server", "Term", "Text"),
 		entry(PrimaryHeard, "PrimaryHeard", LevelInfo, "A suspected primary answers again in the same term.", "Database", "Server", "Term"),
-		entry(PromotionStarted, "PromotionStarted", LevelWarning, "This instance began a promotion and asks the servers for a promise.", "Database", "Term", "Text"),
-		entry(PromotionFenced, "PromotionFenced", LevelInfo, "A majority of the servers promised the term.", "Database", "Position", "Server", "Term"),
-		entry(PromotionDone, "PromotionDone", LevelWarning, "A server is primary for the new term.", "Database", "Position", "Server", "Term", "Text"),
-		entry(PromotionLost, "PromotionLost", LevelInfo, "Another instance holds the term, or no majority answered.", "Database", "Term", "Text"),
+		entry(PromotionStarted, "PromotionStarted", LevelWarning, "This instance began a promotion and asks the backend servers to promise the new term.", "Database", "Term", "Text"),
+		entry(PromotionFenced, "PromotionFenced", LevelInfo, "A majority of the backend servers promised the new term, which fences off the old primary.", "Database", "Position", "Server", "Term"),
+		entry(PromotionDone, "PromotionDone", LevelWarning, "A backend server was established as primary in the new term.", "Database", "Position", "Server", "Term", "Text"),
+		entry(PromotionLost, "PromotionLost", LevelInfo, "A promotion failed because another instance holds the term or no majority of the servers answered. After a delay it is attempted again if it is still needed.", "Database", "Term", "Text"),
 		entry(PrimaryChanged, "PrimaryChanged", LevelInfo, "This instance learned of a new primary.", "Database", "Position", "Server", "Term"),
 		entry(HandoverStarted, "HandoverStarted", LevelInfo, "A planned handover of the primary began.", "Database", "Server", "Term", "Text"),
-		entry(PromotionOrdered, "PromotionOrdered", LevelWarning, "The platform was told to promote a server.", "Database", "Server", "Text"),
+		entry(PromotionOrdered, "PromotionOrdered", LevelWarning, "This instance asked the platform to promote a backend server.", "Database", "Server", "Text"),
 		entry(ServerUnreachable, "ServerUnreachable", LevelWarning, "A backend server does not answer this instance.", "Database", "Server", "Text"),
-		entry(ServerReachable, "ServerReachable", LevelInfo, "A backend server answers again.", "Database", "Server"),
-		entry(SessionOpened, "SessionOpened", LevelDebug, "A caller's session was authenticated.", "Database", "Session", "Workspace"),
+		entry(ServerReachable, "ServerReachable", LevelInfo, "An unreachable backend server answers again.", "Database", "Server"),
+		entry(SessionOpened, "SessionOpened", LevelDebug, "A caller's session was authenticated and opened.", "Database", "Session", "Workspace"),
 		entry(SessionClosed, "SessionClosed", LevelDebug, "A caller's session ended.", "Database", "Session", "Text", "Workspace"),
 		entry(AuthenticationFailed, "AuthenticationFailed", LevelWarning, "A caller's key was not accepted.", "Database", "Session", "Text", "Workspace"),
-		entry(RequestRefused, "RequestRefused", LevelDebug, "A request was refused and did not run.", "Database", "Session", "Text", "Workspace"),
-		entry(OutcomeUnknown, "OutcomeUnknown", LevelError, "It could not be found out in time whether a request took effect.", "Database", "Position", "Server", "Session", "Term", "Workspace"),
+		entry(RequestRefused, "RequestRefused", LevelDebug, "A request was refused without being run.", "Database", "Session", "Text", "Workspace"),
+		entry(OutcomeUnknown, "OutcomeUnknown", LevelError, "Whether a request took effect could not be determined in time.", "Database", "Position", "Server", "Session", "Term", "Workspace"),
 		entry(KeyWithdrawn, "KeyWithdrawn", LevelInfo, "An open session was closed because its key was withdrawn.", "Database", "Session", "Workspace"),
-		entry(SessionRoamed, "SessionRoamed", LevelDebug, "A session arrived with a position token.", "Database", "Position", "Session", "Workspace"),
-		entry(CancelForwarded, "CancelForwarded", LevelDebug, "A cancel request was passed to the instance that has the session.", "Session", "Text"),
-		entry(CommitLost, "CommitLost", LevelWarning, "A commit was lost in a change of primary and did certainly not take effect.", "Database", "Position", "Server", "Session", "Term", "Workspace"),
-		entry(RequestRetried, "RequestRetried", LevelDebug, "A request that did not run, or is idempotent, runs again on another server.", "Database", "Server", "Session", "Text", "Workspace"),
-		entry(RequestLate, "RequestLate", LevelInfo, "A request was served later than the target latency of its route.", "Database", "Request", "Server", "Text", "Workspace"),
+		entry(SessionRoamed, "SessionRoamed", LevelDebug, "A session was opened with a position token from an earlier session.", "Database", "Position", "Session", "Workspace"),
+		entry(CancelForwarded, "CancelForwarded", LevelDebug, "A cancel request was forwarded to the instance that runs the session.", "Session", "Text"),
+		entry(CommitLost, "CommitLost", LevelWarning, "A commit was lost in a change of primary. It is certain that it did not take effect.", "Database", "Position", "Server", "Session", "Term", "Workspace"),
+		entry(RequestRetried, "RequestRetried", LevelDebug, "A request that did not run, or is idempotent, is retried on another server.", "Database", "Server", "Session", "Text", "Workspace"),
+		entry(RequestLate, "RequestLate", LevelInfo, "A request took longer than the target latency of its route.", "Database", "Request", "Server", "Text", "Workspace"),
 		entry(RequestFailed, "RequestFailed", LevelWarning, "A request was refused, failed, or has an unknown outcome.", "Database", "Request", "Server", "Text", "Workspace"),
-		entry(LinesSuppressed, "LinesSuppressed", LevelInfo, "Lines about requests were left out to bound the volume. Text holds their number.", "Text"),
+		entry(LinesSuppressed, "LinesSuppressed", LevelInfo, "Log lines about requests were dropped by the rate limit of the log. Text holds their number.", "Text"),
 		entry(ConnectionOpened, "ConnectionOpened", LevelDebug, "A connection to a backend server was opened.", "Database", "Server"),
 		entry(ConnectionClosed, "ConnectionClosed", LevelDebug, "A connection to a backend server was closed.", "Database", "Server", "Text"),
 		entry(ConnectionFailed, "ConnectionFailed", LevelWarning, "A connection to a backend server was lost or could not be opened.", "Database", "Server", "Text"),
-		entry(AdminRefused, "AdminRefused", LevelWarning, "A call of the administration API was refused.", "Text"),
+		entry(AdminRefused, "AdminRefused", LevelWarning, "A call to the administration API was refused.", "Text"),
 		entry(SheetPublished, "SheetPublished", LevelInfo, "An operator published a sheet through this instance.", "Text"),
-		entry(SheetNotPublished, "SheetNotPublished", LevelWarning, "A sheet was not published, or its outcome is unknown.", "Text"),
-		entry(DrainRequested, "DrainRequested", LevelInfo, "An operator takes a data centre or backend server out of service.", "Server", "Text"),
-		entry(RestoreRequested, "RestoreRequested", LevelInfo, "An operator brings a data centre or backend server back.", "Server", "Text"),
+		entry(SheetNotPublished, "SheetNotPublished", LevelWarning, "A request to publish a sheet through this instance published nothing, or its outcome is unknown.", "Text"),
+		entry(DrainRequested, "DrainRequested", LevelInfo, "An operator asked to take a data centre or backend server out of service.", "Server", "Text"),
+		entry(RestoreRequested, "RestoreRequested", LevelInfo, "An operator asked to bring a data centre or backend server back into service.", "Server", "Text"),
 	}
 }
 
-const referenceHead = `# Events
+const referenceHeader = `# Events
 
 <!-- Generated by event.Reference; the test of that package checks this page. -->
 
-Each log line carries the number and name of its event. Numbers are never used
-again for another event. Events also go to the timeline; ` + "`nutmegpier timeline`" + `
+Each log line carries the number and name of its event. Numbers are never reused
+for another event. Events are also recorded in the timeline; ` + "`nutmegpier timeline`" + `
 merges the timelines of several instances in causal order.
 
 Each event has ` + "`Time`, `Stamp`, `Instance` and `Epoch`" + `. The optional fields are
-listed. No event holds a caller's key: text that looks like one is redacted.
+listed in the table. No event contains a caller's key: text that looks like one is
+redacted.
 
 | Number | Name | Level | Fields | Meaning |
 | --- | --- | --- | --- | --- |
@@ -175,7 +176,7 @@
 // Reference returns the content of docs/events.md.
 func Reference() string {
 	var page strings.Builder
-	page.WriteString(referenceHead)
+	page.WriteString(referenceHeader)
 	for _, e := range Catalogue() {
 		fields := strings.Join(e.Fields, ", ")
 		if fields == "" {
@@ -186,6 +187,7 @@
 	return page.String()
 }
 
+// entry returns the entry of an event.
 func entry(number Number, name Name, level Level, meaning string, fields ...string) Entry {
 	return Entry{Fields: fields, Level: level, Meaning: meaning, Name: name, Number: number}
 }
--- a/event/error.go
+++ b/event/error.go
@@ -5,9 +5,9 @@
 
 // Kinds of errors.
 const (
-	// KindEncode means that events cannot be packed.
+	// KindEncode means that events cannot be encoded.
 	KindEncode Kind = "Encode"
-	// KindMalformed means that a stamp or a snapshot cannot be read.
+	// KindMalformed means that a stamp or a snapshot cannot be decoded.
 	KindMalformed Kind = "Malformed"
 )
 
--- a/event/event.go
+++ b/event/event.go
@@ -1,5 +1,5 @@
-// Package event records numbered events: in the log, and in a ring buffer
-// from which the timeline over all instances is made.
+// Package event records numbered events. Each event is logged and stored in a ring
+// buffer. The buffers of all instances are merged into a timeline.
 package event
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Fields are the optional fields of an event. There is no field for keys.
+// Fields holds the optional fields of an event. None of them is for callers' keys.
 type Fields struct {
 	Database  fleet.GroupID     `json:",omitempty"`
 	Position  fleet.Position    `json:",omitzero"`
@@ -28,8 +28,8 @@
 	Level    Level
 	Name     Name
 	Number   Number
-	// Stamp orders events of all instances so that causes come before effects.
+	// Stamp orders the events of all instances so that causes come before effects.
 	Stamp Stamp
-	// Time is the wall time of the instance.
+	// Time is the wall-clock time of the instance.
 	Time time.Time
 }
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -19,9 +19,9 @@
 
 var update = flag.Bool("update", false, "write docs/events.md")
 
-var start = time.Date(2026, 3, 2, 6, 30, 0, 0, time.UTC)
+var startTime = time.Date(2026, 3, 2, 6, 30, 0, 0, time.UTC)
 
-func recorder(instance fleet.InstanceID, now *time.Time, out io.Writer, capacity int) *event.Recorder {
+func newRecorder(instance fleet.InstanceID, now *time.Time, out io.Writer, capacity int) *event.Recorder {
 	return event.New(instance, 1, func() time.Time { return *now }, event.NewLogger(out, "json", event.LevelDebug), capacity)
 }
 
@@ -33,8 +33,8 @@
 	return all
 }
 
-// TestCatalogue guards against numbers or names that are used twice, and a
-// reference page that lags the catalogue.
+// TestCatalogue guards against numbers or names that are used twice, and against a
+// reference page that is out of date with the catalogue.
 func TestCatalogue(t *testing.T) {
 	last := event.Number(0)
 	seen := map[event.Name]bool{}
@@ -58,11 +58,11 @@
 	}
 }
 
-// TestEventsKeepsLatest guards against a ring buffer that loses the order or
-// drops the newest events.
+// TestEventsKeepsLatest guards against a ring buffer that loses the order or the
+// newest events, and against debug events that push out the other events.
 func TestEventsKeepsLatest(t *testing.T) {
-	now := start
-	r := recorder("a", &now, io.Discard, 3)
+	now := startTime
+	r := newRecorder("a", &now, io.Discard, 3)
 	for _, text := range []string{"1", "2", "3", "4", "5"} {
 		r.Record(event.SheetInForce, event.Fields{Text: text})
 	}
@@ -74,24 +74,24 @@
 		r.Record(event.RequestRefused, event.Fields{})
 	}
 	if diff := cmp.Diff(6, len(r.Events(event.Filter{}))); diff != "" {
-		t.Errorf("after a flood of debug events (-want +got):\n%s", diff)
+		t.Errorf("number of events after many debug events (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff([]string{"3", "4", "5"}, got); diff != "" {
 		t.Errorf("texts (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(1, len(r.Events(event.Filter{Limit: 1, Number: event.SheetInForce}))); diff != "" {
-		t.Errorf("limited (-want +got):\n%s", diff)
+		t.Errorf("number of events with a limit of 1 (-want +got):\n%s", diff)
 	}
 	if got := r.Events(event.Filter{Workspace: "other"}); got != nil {
-		t.Errorf("other workspace: %v", got)
+		t.Errorf("events of an unknown workspace: %v, want none", got)
 	}
 }
 
 // TestMergeOrdersCauses guards against a merged timeline that shows an effect
 // before its cause when an instance's clock is behind.
 func TestMergeOrdersCauses(t *testing.T) {
-	now, behind := start, start.Add(-time.Minute)
-	a, b := recorder("a", &now, io.Discard, 9), recorder("b", &behind, io.Discard, 9)
+	now, behind := startTime, startTime.Add(-time.Minute)
+	a, b := newRecorder("a", &now, io.Discard, 9), newRecorder("b", &behind, io.Discard, 9)
 	a.Record(event.PromotionStarted, event.Fields{Database: "orders", Term: 2})
 	b.Observe(a.Stamp())
 	b.Record(event.PrimaryChanged, event.Fields{Database: "orders", Server: "s\x1b2", Term: 2})
@@ -106,40 +106,41 @@
 		"",
 	}, "\n")
 	if diff := cmp.Diff(want, event.Render(merged)); diff != "" {
-		t.Errorf("picture (-want +got):\n%s", diff)
+		t.Errorf("rendered timeline (-want +got):\n%s", diff)
 	}
 }
 
-// TestRecordRedactsKeys guards against a caller's key in the log or timeline.
+// TestRecordRedactsKeys guards against a caller's key in the log or the timeline.
 func TestRecordRedactsKeys(t *testing.T) {
-	now, out := start, &bytes.Buffer{}
-	r := recorder("a", &now, out, 9)
+	now, out := startTime, &bytes.Buffer{}
+	r := newRecorder("a", &now, out, 9)
 	const key = "npk_ab12_s3cr3ts3cr3t"
 	r.Record(event.AuthenticationFailed, event.Fields{
 		Database: fleet.GroupID(key), Server: fleet.ServerID(key), Session: key,
 		Text: "password=" + key + " refused, also NPK_ab12_s3cr3t", Workspace: fleet.WorkspaceID(key),
 	})
-	kept, err := json.Marshal(r.Events(event.Filter{}))
+	timeline, err := json.Marshal(r.Events(event.Filter{}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range map[string]string{"log": out.String(), "timeline": string(kept)} {
+	for name, text := range map[string]string{"log": out.String(), "timeline": string(timeline)} {
 		if strings.Contains(text, "s3cr3t") || !strings.Contains(text, "npk_[redacted] refused") {
 			t.Errorf("%s is not redacted: %s", name, text)
 		}
 	}
 }
 
-// TestStampsIncrease guards against stamps that go back with the wall clock or
-// that do not pass an observed stamp, also through their text form.
+// TestStampsIncrease guards against stamps that decrease when the wall clock is set
+// back, or that are not greater than an observed stamp. Observed stamps go through
+// their text form.
 func TestStampsIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now := start
-		r := recorder("a", &now, io.Discard, 1)
+		now := startTime
+		r := newRecorder("a", &now, io.Discard, 1)
 		last := r.Stamp()
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
-			now = start.Add(time.Duration(rapid.Int64Range(-5, 5).Draw(t, "clock")))
-			observed := event.Stamp{Count: rapid.Uint32().Draw(t, "count"), Wall: start.UnixNano() + rapid.Int64Range(-5, 5).Draw(t, "wall")}
+			now = startTime.Add(time.Duration(rapid.Int64Range(-5, 5).Draw(t, "clock")))
+			observed := event.Stamp{Count: rapid.Uint32().Draw(t, "count"), Wall: startTime.UnixNano() + rapid.Int64Range(-5, 5).Draw(t, "wall")}
 			parsed, err := event.ParseStamp(observed.String())
 			if err != nil {
 				t.Fatal(err)
@@ -147,7 +148,7 @@
 			r.Observe(parsed)
 			next := r.Stamp()
 			if next.Compare(last) <= 0 || next.Compare(observed) <= 0 {
-				t.Fatalf("stamp %v after %v and %v", next, last, observed)
+				t.Fatalf("stamp is %v, want more than the previous %v and the observed %v", next, last, observed)
 			}
 			last = next
 		}
--- a/event/recorder.go
+++ b/event/recorder.go
@@ -11,10 +11,10 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// Clock returns the current wall time.
+// Clock returns the current wall-clock time.
 type Clock func() time.Time
 
-// Recorder logs events and keeps the latest ones. It is safe for concurrent use.
+// Recorder logs events and stores the latest ones. It is safe for concurrent use.
 type Recorder struct {
 	clock    Clock
 	entries  map[Number]Entry
@@ -23,33 +23,34 @@
 	logger   *logrus.Logger
 
 	mu sync.Mutex
-	// debug keeps the events that come with single requests, so that a flood
-	// of them does not push out the events of a failover.
-	debug ring
-	other ring
-	stamp Stamp
+	// debugRing stores the events of level debug, which are recorded for single
+	// requests. It is separate so that many of them do not push out the events
+	// of a failover.
+	debugRing ring
+	mainRing  ring
+	stamp     Stamp
 }
 
-// New returns a recorder that keeps the latest events: up to capacity of level
-// debug, and up to capacity of the other levels.
+// New returns a recorder that stores the latest events: up to capacity events of
+// level debug, and up to capacity events of the other levels.
 func New(instance fleet.InstanceID, epoch fleet.Epoch, clock Clock, logger *logrus.Logger, capacity int) *Recorder {
 	entries := map[Number]Entry{}
 	for _, e := range Catalogue() {
 		entries[e.Number] = e
 	}
 	return &Recorder{
-		clock:    clock,
-		debug:    ring{size: max(capacity, 1)},
-		entries:  entries,
-		epoch:    epoch,
-		instance: instance,
-		logger:   logger,
-		other:    ring{size: max(capacity, 1)},
+		clock:     clock,
+		debugRing: ring{size: max(capacity, 1)},
+		entries:   entries,
+		epoch:     epoch,
+		instance:  instance,
+		logger:    logger,
+		mainRing:  ring{size: max(capacity, 1)},
 	}
 }
 
-// NewLogger returns a logger for the format "text" or "json". A level that
-// logrus does not know counts as info.
+// NewLogger returns a logger that writes the format "json", or text for any other
+// format. An unknown level means info.
 func NewLogger(out io.Writer, format string, level Level) *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(out)
@@ -66,41 +67,41 @@
 	return logger
 }
 
-// Events returns the kept events that match the filter, oldest first.
+// Events returns the stored events that match the filter, oldest first.
 func (r *Recorder) Events(filter Filter) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return filter.limit(Merge(r.debug.matching(filter), r.other.matching(filter)))
+	return filter.limit(Merge(r.debugRing.matching(filter), r.mainRing.matching(filter)))
 }
 
-// Observe takes in a stamp of another instance. Stamps taken later are later
-// than it.
+// Observe advances the clock of the recorder past a stamp from another instance, so
+// that all later stamps are greater.
 func (r *Recorder) Observe(observed Stamp) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stamp = r.stamp.next(observed, r.clock())
 }
 
-// Record logs an event and keeps it. Keys in text fields are redacted. A
-// number that is not in the catalogue is recorded as an error without a name.
+// Record logs and stores an event. Callers' keys in its fields are redacted. An event
+// whose number is not in the catalogue is recorded at level error without a name.
 func (r *Recorder) Record(number Number, fields Fields) {
-	described, known := r.entries[number]
+	entry, known := r.entries[number]
 	if !known {
-		described = Entry{Level: LevelError, Number: number}
+		entry = Entry{Level: LevelError, Number: number}
 	}
 	e := Event{
 		Epoch:    r.epoch,
 		Fields:   redact(fields),
 		Instance: r.instance,
-		Level:    described.Level,
-		Name:     described.Name,
+		Level:    entry.Level,
+		Name:     entry.Name,
 		Number:   number,
 	}
-	r.keep(&e)
+	r.store(&e)
 	r.log(e)
 }
 
-// Stamp returns a new stamp for a message to another instance.
+// Stamp returns a new stamp, to be sent with a message to another instance.
 func (r *Recorder) Stamp() Stamp {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,20 +109,21 @@
 	return r.stamp
 }
 
-// keep stamps the event and puts it in the ring.
-func (r *Recorder) keep(e *Event) {
+// store sets the time and stamp of an event and adds it to its ring.
+func (r *Recorder) store(e *Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.Time = r.clock()
 	r.stamp = r.stamp.next(Stamp{}, e.Time)
 	e.Stamp = r.stamp
 	if e.Level == LevelDebug {
-		r.debug.add(*e)
+		r.debugRing.add(*e)
 		return
 	}
-	r.other.add(*e)
+	r.mainRing.add(*e)
 }
 
+// log writes an event to the log if its level is enabled.
 func (r *Recorder) log(e Event) {
 	level, err := logrus.ParseLevel(string(e.Level))
 	if err != nil || !r.logger.IsLevelEnabled(level) {
@@ -130,6 +132,7 @@
 	r.logger.WithTime(e.Time).WithFields(logFields(e)).Log(level, string(e.Name))
 }
 
+// logFields returns the fields of an event's log line, without empty ones.
 func logFields(e Event) logrus.Fields {
 	fields := logrus.Fields{
 		"Epoch":    uint64(e.Epoch),
@@ -137,17 +140,17 @@
 		"Instance": string(e.Instance),
 		"Stamp":    e.Stamp.String(),
 	}
-	put := func(name, value string) {
+	setNonEmpty := func(name, value string) {
 		if value != "" {
 			fields[name] = value
 		}
 	}
-	put("Database", string(e.Database))
-	put("Request", e.Request)
-	put("Server", string(e.Server))
-	put("Session", e.Session)
-	put("Text", e.Text)
-	put("Workspace", string(e.Workspace))
+	setNonEmpty("Database", string(e.Database))
+	setNonEmpty("Request", e.Request)
+	setNonEmpty("Server", string(e.Server))
+	setNonEmpty("Session", e.Session)
+	setNonEmpty("Text", e.Text)
+	setNonEmpty("Workspace", string(e.Workspace))
 	if e.Term != 0 {
 		fields["Term"] = uint64(e.Term)
 	}
@@ -157,6 +160,7 @@
 	return fields
 }
 
+// redact returns the fields with callers' keys replaced.
 func redact(fields Fields) Fields {
 	fields.Database = fleet.GroupID(sheet.Redact(string(fields.Database)))
 	fields.Request = sheet.Redact(fields.Request)
--- a/event/render.go
+++ b/event/render.go
@@ -10,70 +10,72 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// timeLayout is the clock time of a rendered line.
+// timeLayout is the format of the time of day at the start of a rendered line.
 const timeLayout = "15:04:05.000"
 
-// minColumnWidth is the least width of a column in characters.
+// minColumnWidth is the minimum width of an instance's column in characters.
 const minColumnWidth = 12
 
-// Render returns a picture for a terminal: one line for each event, oldest
-// first, and one column for each instance in the order of their names. A mark
-// in its instance's column stands for an event; the text follows at the right.
+// Render formats a timeline for a terminal. It has one line for each event, in the
+// given order, and one column for each instance, sorted by name. An event is marked
+// with its number in the column of its instance; its description is at the right.
 func Render(events []Event) string {
-	instances := instancesOf(events)
+	instances := instanceNames(events)
 	width := minColumnWidth
 	for _, instance := range instances {
 		width = max(width, utf8.RuneCountInString(string(instance))+1)
 	}
-	var picture strings.Builder
-	picture.WriteString(strings.Repeat(" ", len(timeLayout)+1))
+	var out strings.Builder
+	out.WriteString(strings.Repeat(" ", len(timeLayout)+1))
 	for _, instance := range instances {
-		picture.WriteString(pad(string(instance), width))
+		out.WriteString(pad(string(instance), width))
 	}
-	picture.WriteString("event\n")
+	out.WriteString("event\n")
 	for _, e := range events {
-		renderLine(&picture, e, instances, width)
+		renderLine(&out, e, instances, width)
 	}
-	return picture.String()
+	return out.String()
 }
 
-func renderLine(picture *strings.Builder, e Event, instances []fleet.InstanceID, width int) {
-	picture.WriteString(e.Time.UTC().Format(timeLayout) + " ")
+// renderLine appends the line of one event.
+func renderLine(out *strings.Builder, e Event, instances []fleet.InstanceID, width int) {
+	out.WriteString(e.Time.UTC().Format(timeLayout) + " ")
 	for _, instance := range instances {
 		mark := "|"
 		if instance == e.Instance {
 			mark = "* " + strconv.FormatUint(uint64(e.Number), 10)
 		}
-		picture.WriteString(pad(mark, width))
+		out.WriteString(pad(mark, width))
 	}
-	picture.WriteString(describe(e) + "\n")
+	out.WriteString(describe(e) + "\n")
 }
 
 // describe returns the name and fields of an event on one line.
 func describe(e Event) string {
 	parts := []string{string(e.Name)}
-	put := func(name, value string) {
+	addNonEmpty := func(name, value string) {
 		if value != "" {
 			parts = append(parts, name+"="+printable(value))
 		}
 	}
-	put("database", string(e.Database))
-	put("server", string(e.Server))
+	addNonEmpty("database", string(e.Database))
+	addNonEmpty("server", string(e.Server))
 	if e.Term != 0 {
-		put("term", strconv.FormatUint(uint64(e.Term), 10))
+		addNonEmpty("term", strconv.FormatUint(uint64(e.Term), 10))
 	}
 	if !e.Position.IsZero() {
-		put("position", e.Position.String())
+		addNonEmpty("position", e.Position.String())
 	}
-	put("workspace", string(e.Workspace))
-	put("session", e.Session)
+	addNonEmpty("workspace", string(e.Workspace))
+	addNonEmpty("session", e.Session)
 	if e.Text != "" {
 		parts = append(parts, printable(e.Text))
 	}
 	return strings.Join(parts, " ")
 }
 
-func instancesOf(events []Event) []fleet.InstanceID {
+// instanceNames returns the instances of the events, sorted and without duplicates.
+func instanceNames(events []Event) []fleet.InstanceID {
 	var instances []fleet.InstanceID
 	for _, e := range events {
 		instances = append(instances, e.Instance)
@@ -82,11 +84,12 @@
 	return slices.Compact(instances)
 }
 
+// pad appends spaces to a text up to a width in characters.
 func pad(text string, width int) string {
 	return text + strings.Repeat(" ", max(width-utf8.RuneCountInString(text), 0))
 }
 
-// printable replaces control characters, which could change the terminal.
+// printable replaces control characters, which could alter the terminal's state.
 func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) {
--- a/event/ring.go
+++ b/event/ring.go
@@ -1,14 +1,15 @@
 package event
 
-// ring keeps the latest events up to its size.
+// ring is a ring buffer of the latest events.
 type ring struct {
 	events []Event
-	// next is the index that is overwritten next.
+	// next is the index that the next event overwrites when the ring is full.
 	next int
+	// size is the maximum number of events.
 	size int
 }
 
-// add puts in an event; the oldest one gives way when the ring is full.
+// add adds an event. When the ring is full, it replaces the oldest one.
 func (r *ring) add(e Event) {
 	if len(r.events) < r.size {
 		r.events = append(r.events, e)
--- a/event/snapshot.go
+++ b/event/snapshot.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// maxSnapshotBytes bounds the unpacked size of a snapshot, so that a
-	// damaged object cannot exhaust memory.
+	// maxSnapshotBytes bounds the uncompressed size of a snapshot that is read, so
+	// that a damaged object cannot exhaust memory.
 	maxSnapshotBytes = 64 << 20
-	// snapshotFormat is the version of the snapshot's content.
+	// snapshotFormat is the version of the snapshot format.
 	snapshotFormat = 1
 )
 
-// snapshot is the content of a snapshot before it is packed.
+// snapshot is the JSON content of a snapshot before compression.
 type snapshot struct {
 	Events []Event
 	Format int
 }
 
-// EncodeSnapshot packs events for the object store.
+// EncodeSnapshot encodes events as gzip-compressed JSON for the object store.
 func EncodeSnapshot(events []Event) ([]byte, error) {
-	var packed bytes.Buffer
-	writer := gzip.NewWriter(&packed)
+	var compressed bytes.Buffer
+	writer := gzip.NewWriter(&compressed)
 	if err := json.NewEncoder(writer).Encode(snapshot{Events: events, Format: snapshotFormat}); err != nil {
 		return nil, &Error{Op: "encode snapshot", Kind: KindEncode, Err: err}
 	}
 	if err := writer.Close(); err != nil {
 		return nil, &Error{Op: "encode snapshot", Kind: KindEncode, Err: err}
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
-// DecodeSnapshot unpacks events that were packed by EncodeSnapshot.
-func DecodeSnapshot(packed []byte) ([]Event, error) {
-	reader, err := gzip.NewReader(bytes.NewReader(packed))
+// DecodeSnapshot decodes the events of a snapshot made by EncodeSnapshot.
+func DecodeSnapshot(compressed []byte) ([]Event, error) {
+	reader, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, &Error{Op: "decode snapshot", Kind: KindMalformed, Err: err}
 	}
--- a/instance/admin.go
+++ b/instance/admin.go
@@ -7,11 +7,12 @@
 	"github.com/nutmegpier/nutmegpier/operator"
 )
 
-// adminHeaderTimeout keeps slow clients from holding connections.
+// adminHeaderTimeout bounds reading the headers of a request on the administration
+// and peer listeners, so that slow clients cannot hold connections open.
 const adminHeaderTimeout = 10 * time.Second
 
-// adminServer returns the server of the administration listener: health,
-// readiness, metrics and the administration API.
+// adminServer returns the HTTP server of the administration listener. It serves
+// liveness, readiness, metrics and the administration API.
 func (i *Instance) adminServer(api *operator.Server) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", i.serveHealth)
@@ -21,12 +22,13 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: adminHeaderTimeout}
 }
 
-// serveHealth answers while the process works at all.
+// serveHealth is the liveness probe: it succeeds whenever the process can answer.
 func (i *Instance) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	_, _ = w.Write([]byte("healthy\n"))
 }
 
-// serveReadiness tells the platform's balancer whether to send new callers.
+// serveReadiness is the readiness probe, by which the platform's load balancer
+// decides whether to send new callers.
 func (i *Instance) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if i.ready(i.config.Now()) {
 		_, _ = w.Write([]byte("ready\n"))
@@ -35,12 +37,12 @@
 	http.Error(w, "not ready: "+string(i.board.Lifecycle.Load()), http.StatusServiceUnavailable)
 }
 
-// ready reports whether the instance takes new callers: it serves, it holds a
-// sheet, its validity lease holds, and its data centre is in service.
+// ready reports whether the instance accepts new callers: it is serving, a sheet is
+// in force, its validity lease holds, and its data centre is in service.
 func (i *Instance) ready(now time.Time) bool {
 	inForce := i.board.Sheet.Load()
 	return i.board.Lifecycle.Load() == LifecycleServing &&
 		inForce.Version > 0 &&
-		i.limits.Valid(now) &&
+		i.limiter.Valid(now) &&
 		inForce.Index.IsInService(i.config.Settings.DataCentre)
 }
--- a/instance/adminapi.go
+++ b/instance/adminapi.go
@@ -7,29 +7,30 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// newOperator returns the administration API.
-func (i *Instance) newOperator() *operator.Server {
-	published := &publisher{
-		holders: i.peers,
-		now:     i.config.Now,
-		table:   i.config.Platform,
-		usage:   i.usage,
+// newAdminAPI returns the server of the administration API.
+func (i *Instance) newAdminAPI() *operator.Server {
+	sheetPublisher := &publisher{
+		distributor: i.peers,
+		now:         i.config.Now,
+		table:       i.config.Platform,
+		usage:       i.usage,
 	}
 	return operator.New(operator.Config{
 		Archive:   i.archive,
-		Publisher: published,
+		Publisher: sheetPublisher,
 		Recorder:  i.config.Events,
-		Sheets:    published,
+		Sheets:    sheetPublisher,
 		Status:    i,
 		Timeline:  i.config.Events,
 		Tokens:    func() []settings.Token { return i.settings.Load().Admin.Tokens },
 	})
 }
 
-// usage returns what this instance knows of the deployment.
+// usage returns what this instance knows of the deployment, for the checks of
+// unsafe changes to the sheet.
 func (i *Instance) usage() sheet.Deployment {
 	usage := sheet.Deployment{
-		BusyWorkspaces: i.metrics.busy(),
+		BusyWorkspaces: i.metrics.activeWorkspaces(),
 		DataCentres:    []fleet.DataCentre{i.config.Settings.DataCentre},
 	}
 	for _, configured := range i.config.Settings.Groups {
--- a/instance/archive.go
+++ b/instance/archive.go
@@ -16,19 +16,21 @@
 )
 
 const (
-	// archivePeriod is the time between snapshots of the events. With nine
-	// instances that is less than one write a second.
-	archivePeriod = 10 * time.Second
-	// archivedEvents bounds the events of a snapshot.
-	archivedEvents = 2000
-	// archivedRuns is the number of runs of an instance whose snapshots are listed.
-	archivedRuns = 4
-	// archivePrefix starts the keys of the index rows and the names of the objects.
+	// snapshotInterval is the time between snapshots of the events. With nine
+	// instances it causes less than one write a second to the object store.
+	snapshotInterval = 10 * time.Second
+	// maxSnapshotEvents is the number of events in a snapshot, the latest ones.
+	maxSnapshotEvents = 2000
+	// maxListedRuns is the number of runs for which the index row of an instance
+	// lists a snapshot, the latest ones.
+	maxListedRuns = 4
+	// archivePrefix is the prefix of the keys of index rows and of object names.
 	archivePrefix = "timeline/"
 )
 
-// archive keeps snapshots of the events in the object store, because instances
-// have no disk and their events are wanted most after they have died.
+// archive saves snapshots of the events to the object store, because instances have
+// no disk and their events are needed most after a crash. An index row for each
+// instance lists the snapshots of its runs.
 type archive struct {
 	epoch    fleet.Epoch
 	events   *event.Recorder
@@ -36,8 +38,10 @@
 	platform Platform
 	timeout  time.Duration
 
+	// indexed means that the index row lists this run.
 	indexed bool
-	last    event.Stamp
+	// lastSaved is the stamp of the last event of the latest snapshot.
+	lastSaved event.Stamp
 }
 
 var _ operator.Archive = &archive{}
@@ -48,39 +52,40 @@
 	Epochs []fleet.Epoch
 }
 
-// run writes a snapshot in each period until the context ends.
+// run saves a snapshot at each interval until the context ends.
 func (a *archive) run(ctx context.Context) error {
-	for pause(ctx, archivePeriod) == nil {
-		// A failed snapshot is repeated in the next period.
-		_ = a.save(ctx)
+	for sleep(ctx, snapshotInterval) == nil {
+		// A snapshot that fails is retried at the next interval.
+		_ = a.saveSnapshot(ctx)
 	}
 	return nil
 }
 
-// save writes a snapshot, if there are events that the last one lacks.
-func (a *archive) save(ctx context.Context) error {
+// saveSnapshot saves a snapshot if there are events since the last one.
+func (a *archive) saveSnapshot(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, a.timeout)
 	defer cancel()
-	events := a.events.Events(event.Filter{Limit: archivedEvents})
-	if len(events) == 0 || events[len(events)-1].Stamp == a.last {
+	events := a.events.Events(event.Filter{Limit: maxSnapshotEvents})
+	if len(events) == 0 || events[len(events)-1].Stamp == a.lastSaved {
 		return nil
 	}
-	packed, err := event.EncodeSnapshot(events)
+	snapshot, err := event.EncodeSnapshot(events)
 	if err != nil {
 		return err
 	}
-	if err := a.platform.Put(ctx, archiveName(a.instance, a.epoch), packed); err != nil {
+	if err := a.platform.Put(ctx, objectName(a.instance, a.epoch), snapshot); err != nil {
 		return err
 	}
-	a.last = events[len(events)-1].Stamp
+	a.lastSaved = events[len(events)-1].Stamp
 	if a.indexed {
 		return nil
 	}
 	return a.index(ctx)
 }
 
-// index adds this run to the index row. Only this run writes the row now, so a
-// lost answer is settled by the next attempt.
+// index adds this run to the index row of the instance. No other run of the
+// instance writes the row at this time, so a write whose answer is lost can simply
+// be repeated with the next snapshot.
 func (a *archive) index(ctx context.Context) error {
 	key := archivePrefix + string(a.instance)
 	rows, err := a.platform.Read(ctx, key)
@@ -92,13 +97,13 @@
 	if len(rows) > 0 {
 		condition.Revision = rows[0].Revision
 		if err := json.Unmarshal(rows[0].Value, &index); err != nil {
-			return fmt.Errorf("row %s: %w", key, err)
+			return fmt.Errorf("decode index row %s: %w", key, err)
 		}
 	}
 	if !slices.Contains(index.Epochs, a.epoch) {
 		index.Epochs = append(index.Epochs, a.epoch)
 	}
-	index.Epochs = index.Epochs[max(0, len(index.Epochs)-archivedRuns):]
+	index.Epochs = index.Epochs[max(0, len(index.Epochs)-maxListedRuns):]
 	value, err := json.Marshal(index)
 	if err != nil {
 		return err
@@ -108,14 +113,14 @@
 		return err
 	}
 	if !applied {
-		return errors.New("the index row has changed")
+		return errors.New("the index row was changed since it was read")
 	}
 	a.indexed = true
 	return nil
 }
 
-// Archived returns the events of all snapshots that match the filter. A
-// snapshot that is missing or damaged is left out.
+// Archived returns the events of all listed snapshots that match the filter. Index
+// rows and snapshots that are missing or damaged are skipped.
 func (a *archive) Archived(ctx context.Context, filter event.Filter) ([]event.Event, error) {
 	rows, err := a.platform.ReadPrefix(ctx, archivePrefix)
 	if err != nil {
@@ -129,7 +134,7 @@
 		}
 		instance := fleet.InstanceID(row.Key[len(archivePrefix):])
 		for _, epoch := range index.Epochs {
-			events, err := a.load(ctx, instance, epoch)
+			events, err := a.loadSnapshot(ctx, instance, epoch)
 			if err == nil {
 				lists = append(lists, filter.Select(events))
 			}
@@ -138,17 +143,19 @@
 	return event.Merge(lists...), nil
 }
 
-func (a *archive) load(ctx context.Context, instance fleet.InstanceID, epoch fleet.Epoch) ([]event.Event, error) {
-	packed, found, err := a.platform.Get(ctx, archiveName(instance, epoch))
+// loadSnapshot reads the snapshot of one run of an instance.
+func (a *archive) loadSnapshot(ctx context.Context, instance fleet.InstanceID, epoch fleet.Epoch) ([]event.Event, error) {
+	snapshot, found, err := a.platform.Get(ctx, objectName(instance, epoch))
 	if err != nil {
 		return nil, err
 	}
 	if !found {
-		return nil, errors.New("no such object")
+		return nil, errors.New("the snapshot object does not exist")
 	}
-	return event.DecodeSnapshot(packed)
+	return event.DecodeSnapshot(snapshot)
 }
 
-func archiveName(instance fleet.InstanceID, epoch fleet.Epoch) string {
+// objectName returns the object name of the snapshot of one run.
+func objectName(instance fleet.InstanceID, epoch fleet.Epoch) string {
 	return archivePrefix + string(instance) + "/" + strconv.FormatUint(uint64(epoch), 10)
 }
--- a/instance/callers.go
+++ b/instance/callers.go
@@ -9,18 +9,19 @@
 	"github.com/nutmegpier/nutmegpier/settings"
 )
 
-// mockSecretBytes is the length of the secret behind the mock salts of unknown
-// workspaces.
+// mockSecretBytes is the length of the secret from which the mock salts of
+// unknown workspaces are derived.
 const mockSecretBytes = 32
 
-// neverIdle is longer than any session lasts.
-const neverIdle = 10 * 365 * 24 * time.Hour
+// noIdleTimeout stands for no idle timeout: it is longer than any session lasts.
+const noIdleTimeout = 10 * 365 * 24 * time.Hour
 
+// callerConfig returns the configuration of the server for callers.
 func (i *Instance) callerConfig() caller.Config {
 	configured := i.config.Settings
-	secret := make([]byte, 0, mockSecretBytes)
-	for len(secret) < mockSecretBytes {
-		secret = append(secret, byte(i.config.Random.Uint32()))
+	mockSecret := make([]byte, 0, mockSecretBytes)
+	for len(mockSecret) < mockSecretBytes {
+		mockSecret = append(mockSecret, byte(i.config.Random.Uint32()))
 	}
 	return caller.Config{
 		AllowCleartext:      configured.TLS.AllowCleartextKeys,
@@ -29,11 +30,11 @@
 		CommitWaiter:        i.router,
 		Credentials:         &credentials{now: i.config.Now, sheet: i.board.Sheet},
 		EventRecorder:       i.recorder,
-		AdmissionController: &gate{lifecycle: i.board.Lifecycle, limits: i.limits, metrics: i.metrics, now: i.config.Now, service: i.service},
+		AdmissionController: &gate{lifecycle: i.board.Lifecycle, limiter: i.limiter, metrics: i.metrics, now: i.config.Now, dataCentreState: i.dataCentreState},
 		IdleTimeout:         idleTimeout(configured.Timeouts.Idle),
 		MaxMessage:          configured.Limits.MaxMessageBytes,
 		MaxSessions:         configured.Limits.MaxSessions,
-		MockSecret:          secret,
+		MockSecret:          mockSecret,
 		Now:                 i.config.Now,
 		RequestTimeout:      configured.Limits.QueueTimeout,
 		Router:              i.router,
@@ -43,15 +44,16 @@
 	}
 }
 
-// idleTimeout returns the timeout of the caller server for the setting, in
-// which zero means never.
+// idleTimeout converts the setting, in which zero means no timeout, to the idle
+// timeout of the caller server.
 func idleTimeout(configured time.Duration) time.Duration {
 	if configured == 0 {
-		return neverIdle
+		return noIdleTimeout
 	}
 	return configured
 }
 
+// newRouter returns a router for all groups of the settings.
 func (i *Instance) newRouter() *router {
 	r := &router{
 		now:      i.config.Now,
--- a/instance/credentials.go
+++ b/instance/credentials.go
@@ -9,7 +9,7 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// credentials answers for the keys of the sheet in force.
+// credentials implements caller.Credentials with the keys of the sheet in force.
 type credentials struct {
 	now   func() time.Time
 	sheet *blackboard.Section[SheetInForce]
@@ -17,12 +17,12 @@
 
 var _ caller.Credentials = &credentials{}
 
-// KeyValid reports whether the sheet in force still accepts the key.
+// KeyValid reports whether the sheet in force accepts the key at this time.
 func (c *credentials) KeyValid(workspace fleet.WorkspaceID, key caller.KeyID) bool {
 	return c.sheet.Load().Index.AcceptsKey(workspace, string(key), c.now())
 }
 
-// Verifiers returns the verifiers of the workspace in the sheet in force.
+// Verifiers returns the SCRAM verifiers of the workspace in the sheet in force.
 func (c *credentials) Verifiers(workspace fleet.WorkspaceID) (caller.Verifiers, bool) {
 	found, ok := c.sheet.Load().Sheet.Credentials(workspace, c.now())
 	if !ok {
@@ -39,14 +39,14 @@
 	return verifiers, true
 }
 
-// routes answers for the routes of the sheet in force.
+// routes implements caller.Routes with the routes of the sheet in force.
 type routes struct {
 	sheet *blackboard.Section[SheetInForce]
 }
 
 var _ caller.Routes = &routes{}
 
-// Route returns the route of a database in the sheet in force.
+// Route returns the route of a database, and false if the sheet in force has none.
 func (r *routes) Route(database fleet.GroupID) (sheet.Route, bool) {
 	return r.sheet.Load().Index.Route(database)
 }
--- a/instance/error.go
+++ b/instance/error.go
@@ -7,11 +7,12 @@
 const (
 	// KindListen means that a listener could not be opened.
 	KindListen Kind = "Listen"
-	// KindSettings means that the settings cannot be used.
+	// KindSettings means that the settings, or a file that they name, cannot be
+	// used.
 	KindSettings Kind = "Settings"
-	// KindStop means that a planned stop could not finish in time.
+	// KindStop means that a planned stop did not finish in time.
 	KindStop Kind = "Stop"
-	// KindUnknownSession means that no instance has the session.
+	// KindUnknownSession means that no instance runs the session.
 	KindUnknownSession Kind = "UnknownSession"
 )
 
--- a/instance/export_test.go
+++ b/instance/export_test.go
@@ -12,7 +12,8 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// NewTestRouter returns a router for one group.
+// NewTestRouter returns a router for one group, with a fake group controller and
+// connection pool.
 func NewTestRouter(id fleet.GroupID, control groupControl, connections pool, view *blackboard.Section[group.View], published sheet.Sheet) caller.Router {
 	return &router{
 		groups:   []routedGroup{{control: control, id: id, view: view}},
--- a/instance/gate.go
+++ b/instance/gate.go
@@ -9,38 +9,42 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// limits is what the gate needs of the shares that this instance holds.
-type limits interface {
-	// Admit takes one request from the workspace's share.
+// limiter enforces the shares of rate limits and connection budgets that this
+// instance holds.
+type limiter interface {
+	// Admit decides whether one request fits into the workspace's share.
 	Admit(now time.Time, id fleet.WorkspaceID) workspace.Decision
-	// Permits returns the number of connections that may be open to a server.
+	// Permits returns the number of connections that may be open to a backend
+	// server.
 	Permits(server fleet.ServerID) int
-	// Share returns the share of a workspace's limit that is held now.
+	// Share returns the share of a workspace's rate limit that this instance holds
+	// now.
 	Share(id fleet.WorkspaceID) workspace.Share
-	// Valid reports whether the instance may serve at this time.
+	// Valid reports whether the validity lease of the instance holds at this time.
 	Valid(now time.Time) bool
 }
 
-// gate admits requests while the instance serves.
+// gate implements caller.AdmissionController: it decides whether a request is admitted.
 type gate struct {
-	lifecycle *blackboard.Section[Lifecycle]
-	limits    limits
-	metrics   *metrics
-	now       func() time.Time
-	service   *service
+	lifecycle       *blackboard.Section[Lifecycle]
+	limiter         limiter
+	metrics         *metrics
+	now             func() time.Time
+	dataCentreState *dataCentreState
 }
 
 var _ caller.AdmissionController = &gate{}
 
-// Admit decides on one request of a workspace.
+// Admit decides whether one request of a workspace is admitted.
 func (g *gate) Admit(now time.Time, id fleet.WorkspaceID) caller.Decision {
-	if !g.serving(now) {
+	if !g.isServing(now) {
 		g.metrics.refusedNotServing.Add(1)
 		return caller.Decision{}
 	}
-	decision := g.limits.Admit(now, id)
-	if !decision.Admitted && !g.limits.Valid(g.now()) {
-		// The lease lapsed in between; the workspace is not over its rate.
+	decision := g.limiter.Admit(now, id)
+	if !decision.Admitted && !g.limiter.Valid(g.now()) {
+		// The validity lease expired during the decision; the workspace did not
+		// exceed its rate.
 		g.metrics.refusedNotServing.Add(1)
 		return caller.Decision{}
 	}
@@ -56,12 +60,12 @@
 	}
 }
 
-// serving reports whether new work is taken. Requests of open sessions are
-// still served while the instance drains, so that no transaction is cut.
-func (g *gate) serving(now time.Time) bool {
+// isServing reports whether requests are served. Requests of open sessions are
+// still served while the instance drains, so that no transaction is interrupted.
+func (g *gate) isServing(now time.Time) bool {
 	switch g.lifecycle.Load() {
 	case LifecycleDraining, LifecycleServing:
-		return g.limits.Valid(now) && g.service.takesRequests(now)
+		return g.limiter.Valid(now) && g.dataCentreState.acceptsRequests(now)
 	}
 	return false
 }
--- a/instance/grouppeers.go
+++ b/instance/grouppeers.go
@@ -9,7 +9,8 @@
 	"github.com/nutmegpier/nutmegpier/peer"
 )
 
-// groupPeers tells group controllers what other instances know.
+// groupPeers implements group.Peers with what the peer controller knows of the
+// other instances.
 type groupPeers struct {
 	now   func() time.Time
 	peers *peer.Controller
@@ -18,7 +19,7 @@
 
 var _ group.Peers = &groupPeers{}
 
-// Live returns the instances believed to be live, this one included.
+// Live returns the instances that are considered live, including this one.
 func (g *groupPeers) Live() []fleet.InstanceID {
 	live := []fleet.InstanceID{g.self}
 	for _, member := range g.peers.LiveInstances() {
@@ -30,7 +31,8 @@
 	return live
 }
 
-// Suspicions returns the newest reports of other instances on a group.
+// Suspicions returns the latest reports of instances that cannot reach the
+// primary of a group.
 func (g *groupPeers) Suspicions(id fleet.GroupID) []group.SuspicionReport {
 	var reports []group.SuspicionReport
 	for _, suspicion := range g.peers.Suspicions() {
--- a/instance/groups.go
+++ b/instance/groups.go
@@ -10,10 +10,12 @@
 	"github.com/nutmegpier/nutmegpier/settings"
 )
 
-// controlCloseTimeout bounds the farewell on control connections.
+// controlCloseTimeout bounds how long closing the control connections of a group
+// may take.
 const controlCloseTimeout = time.Second
 
-// groupController is the controller of one group with its control connections.
+// groupController is the controller of one group with the control connections to
+// its backend servers.
 type groupController struct {
 	*group.Controller
 
@@ -21,7 +23,7 @@
 	settings settings.Group
 }
 
-// newGroupController returns the controller of a group of the settings.
+// newGroupController returns the controller of a group that the settings define.
 func (i *Instance) newGroupController(configured settings.Group, section GroupSection, seed uint64) (*groupController, error) {
 	controller := &groupController{settings: configured}
 	var servers []group.ServerConfig
@@ -34,7 +36,7 @@
 			User:     i.config.Settings.Backend.User,
 		})
 		if err != nil {
-			return nil, &Error{Op: "control " + string(server.Server), Kind: KindSettings, Err: err}
+			return nil, &Error{Op: "configure control connection to " + string(server.Server), Kind: KindSettings, Err: err}
 		}
 		controller.controls = append(controller.controls, control)
 		servers = append(servers, group.ServerConfig{
@@ -68,6 +70,8 @@
 	}
 }
 
+// groupSettings returns the default settings of group controllers with the
+// configured detection times.
 func (i *Instance) groupSettings() group.Settings {
 	result := group.DefaultSettings()
 	detection := i.config.Settings.Detection
@@ -77,6 +81,7 @@
 	return result
 }
 
+// placement returns the placement of the sheet in force.
 func (i *Instance) placement() group.Placement {
 	return i.board.Sheet.Load().Placement
 }
--- a/instance/groupwatch.go
+++ b/instance/groupwatch.go
@@ -10,8 +10,8 @@
 	"github.com/nutmegpier/nutmegpier/group"
 )
 
-// watchGroup follows the view of a group: it records what changes, and ends the
-// requests on servers that cannot answer any more.
+// watchGroup records the changes of a group's view as events, and aborts the
+// requests on backend servers that can no longer answer.
 func (i *Instance) watchGroup(ctx context.Context, section GroupSection) error {
 	watch := groupWatch{abortAfter: i.config.Settings.Detection.DetectTime}
 	for {
@@ -20,8 +20,8 @@
 			if change.abort {
 				i.pool.CloseInUse(change.server)
 			}
-			if change.number != 0 {
-				i.config.Events.Record(change.number, change.fields(section.Group))
+			if change.eventNumber != 0 {
+				i.config.Events.Record(change.eventNumber, change.fields(section.Group))
 			}
 		}
 		select {
@@ -32,35 +32,36 @@
 	}
 }
 
-// groupWatch decides what the changes of a view lead to.
+// groupWatch compares successive views of a group and decides which events to
+// record and which requests to abort.
 type groupWatch struct {
-	// abortAfter is the time without an answer after which the requests on a
-	// server are ended.
+	// abortAfter is how long a server must have been failing before its requests
+	// are aborted.
 	abortAfter  time.Duration
 	primary     fleet.ServerID
 	unreachable map[fleet.ServerID]bool
 }
 
-// groupChange is one change of a view.
+// groupChange is a change between two views, with the action that it requires.
 type groupChange struct {
-	// abort asks to end the requests that wait for the server.
+	// abort means that the requests waiting for the server are aborted.
 	abort bool
-	// number is the event to record, or zero.
-	number event.Number
-	server fleet.ServerID
-	term   fleet.Term
-	text   string
+	// eventNumber is the event to record; zero means none.
+	eventNumber event.Number
+	server      fleet.ServerID
+	term        fleet.Term
+	text        string
 }
 
 func (c groupChange) fields(id fleet.GroupID) event.Fields {
 	return event.Fields{Database: id, Server: c.server, Term: c.term, Text: c.text}
 }
 
-// observe returns the changes since the last view.
+// observe returns the changes since the last call.
 func (w *groupWatch) observe(now time.Time, view group.View) []groupChange {
 	var changes []groupChange
 	if view.Primary != "" && view.Primary != w.primary {
-		changes = append(changes, groupChange{number: event.PrimaryChanged, server: view.Primary, term: view.Term})
+		changes = append(changes, groupChange{eventNumber: event.PrimaryChanged, server: view.Primary, term: view.Term})
 		w.primary = view.Primary
 	}
 	for _, server := range view.Servers {
@@ -69,6 +70,8 @@
 	return changes
 }
 
+// observeServer returns the changes of one server since the last call. A server
+// that has never answered has none.
 func (w *groupWatch) observeServer(now time.Time, view group.View, server group.ServerView) []groupChange {
 	if server.RespondedAt.IsZero() {
 		return nil
@@ -76,10 +79,10 @@
 	var changes []groupChange
 	reachable := server.Reachable()
 	if reachable == w.unreachable[server.Server] {
-		change := groupChange{number: event.ServerReachable, server: server.Server}
+		change := groupChange{eventNumber: event.ServerReachable, server: server.Server}
 		if !reachable {
-			change.number = event.ServerUnreachable
-			change.text = fmt.Sprintf("%d requests failed", server.Failures)
+			change.eventNumber = event.ServerUnreachable
+			change.text = fmt.Sprintf("%d requests failed since the last response", server.Failures)
 		}
 		changes = append(changes, change)
 		if w.unreachable == nil {
@@ -87,16 +90,16 @@
 		}
 		w.unreachable[server.Server] = !reachable
 	}
-	if w.isLost(now, view, server) {
+	if w.shouldAbort(now, view, server) {
 		changes = append(changes, groupChange{abort: true, server: server.Server})
 	}
 	return changes
 }
 
-// isLost reports whether requests on the server are of no use any more. The
-// primary's are kept until another server leads a later term, because its
-// answers are the evidence of their commits.
-func (w *groupWatch) isLost(now time.Time, view group.View, server group.ServerView) bool {
+// shouldAbort reports whether the requests on a server can no longer succeed. The
+// requests on the primary are kept until another server is primary in a later
+// term, because its answers are the only proof that they were committed.
+func (w *groupWatch) shouldAbort(now time.Time, view group.View, server group.ServerView) bool {
 	return server.Server != view.Primary &&
 		!server.Reachable() &&
 		now.Sub(server.FailingSince) >= w.abortAfter
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,5 +1,6 @@
-// Package instance composes one instance of nutmegpier: it builds the
-// blackboard and all controllers, and stops them gracefully.
+// Package instance assembles and runs one proxy instance. It creates the
+// blackboard, the controllers and the servers, connects them, and stops them
+// gracefully.
 package instance
 
 import (
@@ -23,30 +24,33 @@
 	"github.com/nutmegpier/nutmegpier/settings"
 )
 
-// Listeners are the open listeners of an instance.
+// Listeners holds the open listeners of an instance: for the administration API,
+// for callers (PostgreSQL clients) and for the other instances.
 type Listeners struct {
 	Admin   net.Listener
 	Callers net.Listener
 	Peers   net.Listener
 }
 
-// Platform is what an instance needs of the platform.
+// Platform provides the services of the platform that an instance uses.
 type Platform interface {
 	metastore.InstanceList
 	metastore.ObjectStore
 	metastore.Table
 }
 
-// Config holds what an instance depends on. All fields but BackendPassword,
-// CallerTLS and PeerTLS must be set.
+// Config holds the dependencies of an instance. All fields except
+// BackendPassword, CallerTLS and PeerTLS are required.
 type Config struct {
-	// BackendPassword is the proxy's own password for backend servers.
+	// BackendPassword is the password with which the proxy logs in to backend
+	// servers.
 	BackendPassword string
-	// CallerTLS returns the TLS configuration for callers. Nil means no TLS.
+	// CallerTLS returns the TLS configuration of the listener for callers. Nil
+	// means no TLS.
 	CallerTLS func() *tls.Config
 	// Dial opens connections to backend servers.
 	Dial backend.Dial
-	// Epoch tells the runs of the instance apart.
+	// Epoch identifies this run of the instance.
 	Epoch     fleet.Epoch
 	Events    *event.Recorder
 	Listeners Listeners
@@ -56,54 +60,56 @@
 	// PeerTLS is the TLS configuration of the peer listener. Nil means no TLS.
 	PeerTLS  *tls.Config
 	Platform Platform
-	// Random seeds the random sources of the controllers.
+	// Random seeds the random number generators of the controllers.
 	Random   *rand.Rand
 	Settings settings.Settings
 }
 
-// Instance is one running instance.
+// Instance is one proxy instance.
 type Instance struct {
-	archive  *archive
-	board    *Board
-	callers  *caller.Server
-	config   Config
-	groups   []*groupController
-	kill     chan struct{}
-	killOnce sync.Once
-	limits   limits
-	metrics  *metrics
-	peers    *peer.Controller
-	pool     *backend.Pool
-	recorder *recorder
-	router   *router
-	service  *service
-	starved  chan struct{}
+	archive         *archive
+	board           *Board
+	callers         *caller.Server
+	config          Config
+	groups          []*groupController
+	kill            chan struct{}
+	killOnce        sync.Once
+	limiter         limiter
+	metrics         *metrics
+	peers           *peer.Controller
+	pool            *backend.Pool
+	recorder        *recorder
+	router          *router
+	dataCentreState *dataCentreState
+	permitsNeeded   chan struct{}
 
 	// settings holds the settings in force, which a reload replaces.
 	settings atomic.Pointer[settings.Settings]
 
+	// randomMu guards config.Random.
 	randomMu sync.Mutex
-	// adoptMu makes the section of the sheet grow only.
-	adoptMu sync.Mutex
+	// sheetMu is held to replace the sheet in force, so that an older version cannot
+	// replace a newer one.
+	sheetMu sync.Mutex
 }
 
-// clock is the clock of group controllers.
+// clock adapts a function to the clock interfaces of the controllers.
 type clock func() time.Time
 
-// Now returns the time.
+// Now returns the current time.
 func (c clock) Now() time.Time {
 	return c()
 }
 
-// New builds an instance. Nothing runs before Run.
+// New builds an instance. It starts nothing; Run does.
 func New(config Config) (*Instance, error) {
 	i := &Instance{
-		config:   config,
-		kill:     make(chan struct{}),
-		metrics:  newMetrics(),
-		recorder: &recorder{events: config.Events},
-		service:  &service{},
-		starved:  make(chan struct{}, 1),
+		config:          config,
+		kill:            make(chan struct{}),
+		metrics:         newMetrics(),
+		recorder:        &recorder{events: config.Events},
+		dataCentreState: &dataCentreState{},
+		permitsNeeded:   make(chan struct{}, 1),
 	}
 	i.settings.Store(&config.Settings)
 	i.board = newBoard(groupIDs(config.Settings))
@@ -111,7 +117,7 @@
 		Connect:    i.connect,
 		MaxOpening: config.Settings.Backend.MaxOpenings,
 		Now:        config.Now,
-		OnStarved:  i.noteStarved,
+		OnStarved:  i.signalPermitsNeeded,
 	})
 	i.archive = &archive{
 		epoch:    config.Epoch,
@@ -121,7 +127,7 @@
 		timeout:  config.Settings.Platform.Timeout,
 	}
 	i.peers = i.newPeers()
-	i.limits = &shares{peers: i.peers}
+	i.limiter = &peerLimiter{peers: i.peers}
 	for number, configured := range config.Settings.Groups {
 		controller, err := i.newGroupController(configured, i.board.Groups[number], config.Random.Uint64())
 		if err != nil {
@@ -135,12 +141,13 @@
 	return i, nil
 }
 
-// Board returns the blackboard.
+// Board returns the blackboard of the instance.
 func (i *Instance) Board() *Board {
 	return i.board
 }
 
-// Promotions returns the promotions that this instance ordered, oldest first.
+// Promotions returns the latest promotions that this instance carried out, oldest
+// first.
 func (i *Instance) Promotions() []group.PromotionRecord {
 	return i.recorder.Promotions()
 }
@@ -152,6 +159,7 @@
 	return i.config.Random.Uint64()
 }
 
+// connect opens a connection to a backend server for the pool.
 func (i *Instance) connect(ctx context.Context, server fleet.ServerID, address string) (*backend.Conn, error) {
 	configured := i.settings.Load().Backend
 	return backend.Connect(ctx, backend.ConnConfig{
@@ -166,6 +174,8 @@
 	})
 }
 
+// groupOf returns the group of a backend server, or "" if the settings have no such
+// server.
 func (i *Instance) groupOf(server fleet.ServerID) fleet.GroupID {
 	for _, configured := range i.config.Settings.Groups {
 		for _, candidate := range configured.Servers {
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -33,12 +33,13 @@
 	testTimeout   = 20 * time.Second
 )
 
+// fixture is a group of stand-in servers with instances in front of it.
 type fixture struct {
 	group *standin.Group
 	urls  []string
 }
 
-// newFixture starts a group of stand-in servers and instances before it.
+// newFixture starts a group of stand-in servers and instances in front of it.
 func newFixture(t *testing.T, instances int) *fixture {
 	t.Helper()
 	servers, err := standin.NewGroup(standin.Options{ID: testDatabase, ReceiveDelay: time.Millisecond})
@@ -70,23 +71,24 @@
 		Workspace:  testWorkspace,
 	}}}
 	f := &fixture{group: servers}
-	service := standin.NewPlatform()
-	platformURL, stop, err := service.Listen()
+	platform := standin.NewPlatform()
+	platformURL, stop, err := platform.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(stop)
 	store := metastore.NewClient(&http.Client{}, platformURL)
-	publishFirst(ctx, t, store, published)
+	publishFirstSheet(ctx, t, store, published)
 	for number := range instances {
-		address := f.startInstance(ctx, t, fleet.InstanceID(fmt.Sprintf("i%d", number+1)), service, store)
+		address := f.startInstance(ctx, t, fleet.InstanceID(fmt.Sprintf("i%d", number+1)), platform, store)
 		f.urls = append(f.urls, fmt.Sprintf("postgres://%s:%s@%s/%s?sslmode=disable", testWorkspace, key.Key, address, testDatabase))
 	}
 	return f
 }
 
-// publishFirst writes the first sheet and the head row as the publisher does.
-func publishFirst(ctx context.Context, t *testing.T, store *metastore.Client, published sheet.Sheet) {
+// publishFirstSheet writes the first sheet and the head row in the way the publisher
+// does.
+func publishFirstSheet(ctx context.Context, t *testing.T, store *metastore.Client, published sheet.Sheet) {
 	t.Helper()
 	content, err := json.Marshal(published)
 	if err != nil {
@@ -106,7 +108,9 @@
 	}
 }
 
-func (f *fixture) startInstance(ctx context.Context, t *testing.T, id fleet.InstanceID, service *standin.Platform, store *metastore.Client) string {
+// startInstance starts an instance, waits until it is ready, and returns its address
+// for callers.
+func (f *fixture) startInstance(ctx context.Context, t *testing.T, id fleet.InstanceID, platform *standin.Platform, store *metastore.Client) string {
 	t.Helper()
 	configured := settings.Settings{
 		Backend:    settings.Backend{User: "proxy"},
@@ -139,14 +143,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	service.AddInstance(metastore.Instance{
+	platform.AddInstance(metastore.Instance{
 		DataCentre:  "gt-1",
 		ID:          id,
 		PeerAddress: listeners.Peers.Addr().String(),
 		State:       metastore.InstanceLive,
 	})
 	epoch := fleet.Epoch(1)
-	running, err := instance.New(instance.Config{
+	inst, err := instance.New(instance.Config{
 		Dial:      (&net.Dialer{}).DialContext,
 		Epoch:     epoch,
 		Events:    event.New(id, epoch, time.Now, event.NewLogger(io.Discard, "text", event.LevelInfo), 100),
@@ -162,14 +166,14 @@
 	}
 	runCtx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- running.Run(runCtx) }()
+	go func() { done <- inst.Run(runCtx) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
 			t.Errorf("Run: %v", err)
 		}
 	})
-	if err := running.AwaitReady(ctx); err != nil {
+	if err := inst.AwaitReady(ctx); err != nil {
 		t.Fatalf("AwaitReady: %v", err)
 	}
 	return listeners.Callers.Addr().String()
@@ -185,8 +189,8 @@
 	return conn
 }
 
-// TestWriteIsReadThroughAnotherInstance guards against a session that roams
-// to another instance without a token and misses an acknowledged write.
+// TestWriteIsReadThroughAnotherInstance guards against a new session on another
+// instance that brings no position token and does not see an acknowledged write.
 func TestWriteIsReadThroughAnotherInstance(t *testing.T) {
 	f := newFixture(t, 2)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -202,7 +206,7 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff([]int{number * (number + 1) / 2, number + 1}, []int{sum, count}); diff != "" {
-			t.Fatalf("booked sum and count (-want +got):\n%s", diff)
+			t.Fatalf("sum and count of the written rows (-want +got):\n%s", diff)
 		}
 	}
 }
@@ -233,8 +237,8 @@
 	}
 }
 
-// TestWritesGoOnAfterPrimaryCrash guards against an acknowledged write that a
-// failover loses, and against a group that stays without a primary.
+// TestWritesGoOnAfterPrimaryCrash guards against a failover that loses an
+// acknowledged write or leaves the group without a primary.
 func TestWritesGoOnAfterPrimaryCrash(t *testing.T) {
 	f := newFixture(t, 2)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -256,8 +260,8 @@
 	}
 }
 
-// TestWriteOnPausedPrimaryEnds guards against a write that waits for the answer
-// timeout (1 min here) of a primary that another server has replaced.
+// TestWriteOnPausedPrimaryEnds guards against a write on a paused primary that waits
+// for the answer timeout (1 min here) although another server has become primary.
 func TestWriteOnPausedPrimaryEnds(t *testing.T) {
 	f := newFixture(t, 2)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -268,11 +272,11 @@
 	}
 	f.group.Primary().Pause(true)
 	_, err := conn.Exec(ctx, "INSERT INTO die_runs (press, sheets) VALUES ('press-1', 2)")
-	var answered *pgconn.PgError
-	if !errors.As(err, &answered) {
-		t.Fatalf("error is %v, want an answer of the proxy", err)
+	var pgErr *pgconn.PgError
+	if !errors.As(err, &pgErr) {
+		t.Fatalf("error is %v, want an error response of the proxy", err)
 	}
-	if diff := cmp.Diff([]string{"40003", "Outcome: Unknown"}, []string{answered.Code, answered.Detail}); diff != "" {
-		t.Errorf("answer (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]string{"40003", "Outcome: Unknown"}, []string{pgErr.Code, pgErr.Detail}); diff != "" {
+		t.Errorf("error response (-want +got):\n%s", diff)
 	}
 }
--- a/instance/metrics.go
+++ b/instance/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// workspaceMetrics counts the decisions on the requests of one workspace.
+// workspaceMetrics counts the admitted and refused requests of one workspace.
 type workspaceMetrics struct {
 	admitted expvar.Int
 	refused  expvar.Int
@@ -26,7 +26,7 @@
 	workspaces map[fleet.WorkspaceID]*workspaceMetrics
 }
 
-// newMetrics returns metrics that count from zero.
+// newMetrics returns metrics whose counters are zero.
 func newMetrics() *metrics {
 	m := &metrics{workspaces: make(map[fleet.WorkspaceID]*workspaceMetrics)}
 	m.root.Set("RefusedNotServing", &m.refusedNotServing)
@@ -34,7 +34,7 @@
 	return m
 }
 
-// publish adds a value that is computed when it is read.
+// publish adds a metric whose value is computed whenever the metrics are read.
 func (m *metrics) publish(name string, value func() any) {
 	m.root.Set(name, expvar.Func(value))
 }
@@ -45,8 +45,9 @@
 	_, _ = w.Write([]byte(m.root.String()))
 }
 
-// workspace returns the metrics of a workspace. Only workspaces whose key was
-// accepted get here, so the number of entries is bounded by the sheets.
+// workspace returns the metrics of a workspace and creates them at the first
+// call. It is called only for workspaces of a sheet, so the sheets bound the
+// number of entries.
 func (m *metrics) workspace(id fleet.WorkspaceID) *workspaceMetrics {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -58,19 +59,22 @@
 	return found
 }
 
-// busy returns the workspaces that have sent requests to this instance.
-func (m *metrics) busy() []fleet.WorkspaceID {
+// activeWorkspaces returns the workspaces for which this instance has metrics:
+// those that sent requests and, after a call of Status, all workspaces of the
+// sheet.
+func (m *metrics) activeWorkspaces() []fleet.WorkspaceID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Sorted(maps.Keys(m.workspaces))
 }
 
-// workspaceValue is the exported form of workspaceMetrics.
+// workspaceValue is the JSON form of workspaceMetrics.
 type workspaceValue struct {
 	Admitted int64
 	Refused  int64
 }
 
+// workspaceValues returns the metrics of all workspaces in their JSON form.
 func (m *metrics) workspaceValues() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,13 +85,13 @@
 	return values
 }
 
-// publishMetrics adds the values that are read from other parts.
+// publishMetrics adds the metrics that are read from other components.
 func (i *Instance) publishMetrics() {
 	i.metrics.publish("Lifecycle", func() any { return i.board.Lifecycle.Load() })
-	i.metrics.publish("Pools", func() any { return i.allPools() })
+	i.metrics.publish("Pools", func() any { return i.allPoolStatus() })
 	i.metrics.publish("Promotions", func() any { return len(i.Promotions()) })
 	i.metrics.publish("RosterGeneration", func() any { return i.peers.Versions().Generation })
 	i.metrics.publish("Sessions", func() any { return i.callers.Sessions() })
 	i.metrics.publish("SheetVersion", func() any { return i.board.Sheet.Load().Version })
-	i.metrics.publish("Valid", func() any { return i.limits.Valid(i.config.Now()) })
+	i.metrics.publish("Valid", func() any { return i.limiter.Valid(i.config.Now()) })
 }
--- a/instance/open.go
+++ b/instance/open.go
@@ -19,23 +19,24 @@
 )
 
 const (
-	// keepAlive finds broken connections to backend servers.
-	keepAlive = 5 * time.Second
-	// peerIdleConns is the number of kept connections to each peer.
-	peerIdleConns = 4
+	// tcpKeepAlive is the keep-alive period that detects broken connections to
+	// backend servers.
+	tcpKeepAlive = 5 * time.Second
+	// maxIdleConnsPerPeer is the number of idle connections kept open to each peer.
+	maxIdleConnsPerPeer = 4
 )
 
-// Options are what a process gives to an instance besides its settings.
+// Options holds the settings of an instance and what the process provides to it.
 type Options struct {
 	Listeners Listeners
-	// LogFormat overrides the format of the settings when not empty.
+	// LogFormat overrides the log format of the settings if it is not empty.
 	LogFormat string
 	LogOutput io.Writer
 	Settings  settings.Settings
 }
 
-// Open builds an instance that uses the clock, the random source and the
-// network of the process.
+// Open builds an instance that uses the system clock, a securely seeded random
+// source and the network.
 func Open(options Options) (*Instance, error) {
 	configured := options.Settings
 	password, err := readPassword(configured.Backend.PasswordFile)
@@ -47,32 +48,32 @@
 	if options.LogFormat != "" {
 		format = options.LogFormat
 	}
-	security, err := openTLS(configured.TLS)
+	tlsConfig, err := loadTLS(configured.TLS)
 	if err != nil {
 		return nil, err
 	}
 	logger := event.NewLogger(options.LogOutput, format, event.Level(configured.Log.Level))
-	dialer := &net.Dialer{KeepAlive: keepAlive}
+	dialer := &net.Dialer{KeepAlive: tcpKeepAlive}
 	return New(Config{
 		BackendPassword: password,
-		CallerTLS:       security.callers,
+		CallerTLS:       tlsConfig.callers,
 		Dial:            dialer.DialContext,
 		Epoch:           epoch,
 		Events:          event.New(configured.Instance, epoch, time.Now, logger, configured.Timeline.Capacity),
 		Listeners:       options.Listeners,
 		Now:             time.Now,
 		PeerHTTP: &http.Client{Transport: &http.Transport{
-			MaxIdleConnsPerHost: peerIdleConns,
-			TLSClientConfig:     security.peerClient,
+			MaxIdleConnsPerHost: maxIdleConnsPerPeer,
+			TLSClientConfig:     tlsConfig.peerClient,
 		}},
-		PeerTLS:  security.peerServer,
+		PeerTLS:  tlsConfig.peerServer,
 		Platform: metastore.NewClient(&http.Client{}, configured.Platform.URL),
 		Random:   random,
 		Settings: configured,
 	})
 }
 
-// Listen opens the listeners of the settings.
+// Listen opens the listeners that the settings name.
 func Listen(configured settings.Listen) (Listeners, error) {
 	var listeners Listeners
 	for _, entry := range []struct {
@@ -92,18 +93,21 @@
 	return listeners, nil
 }
 
+// readPassword reads the password for backend servers. Without a file the password
+// is empty.
 func readPassword(file string) (string, error) {
 	if file == "" {
 		return "", nil
 	}
 	content, err := os.ReadFile(file)
 	if err != nil {
-		return "", &Error{Op: "read password", Kind: KindSettings, Err: err}
+		return "", &Error{Op: "read backend password", Kind: KindSettings, Err: err}
 	}
 	return strings.TrimSpace(string(content)), nil
 }
 
-// newEpoch returns an epoch that no other run has, and a random source.
+// newEpoch returns a random epoch, which identifies this run, and a securely seeded
+// random source.
 func newEpoch() (fleet.Epoch, *rand.Rand) {
 	var seed [24]byte
 	_, _ = crand.Read(seed[:])
@@ -111,6 +115,7 @@
 	return fleet.Epoch(binary.BigEndian.Uint64(seed[16:])), random
 }
 
+// versionText returns a sheet version as the text of an event.
 func versionText(version fleet.SheetVersion) string {
 	return "version " + strconv.FormatUint(uint64(version), 10)
 }
--- a/instance/peerlist.go
+++ b/instance/peerlist.go
@@ -8,7 +8,8 @@
 	"github.com/nutmegpier/nutmegpier/peer"
 )
 
-// peerList gives the peers the platform's list of instances.
+// peerList implements peer.InstanceList with the platform's list of instances. The
+// timeout bounds each call.
 type peerList struct {
 	list    metastore.InstanceList
 	timeout time.Duration
@@ -16,7 +17,7 @@
 
 var _ peer.InstanceList = &peerList{}
 
-// List returns the listed instances.
+// List returns the instances that the platform lists.
 func (l *peerList) List(ctx context.Context) ([]peer.Listed, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
--- a/instance/peers.go
+++ b/instance/peers.go
@@ -18,18 +18,18 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// maxPeerMessage bounds the messages between instances in bytes. The largest
-// holds a sheet.
+// maxPeerMessage is the maximum size of a message between instances in bytes. The
+// largest messages carry a sheet.
 const maxPeerMessage = 4 << 20
 
-// newPeers returns the controller for the other instances.
+// newPeers returns the peer controller.
 func (i *Instance) newPeers() *peer.Controller {
 	timeout := i.config.Settings.Platform.Timeout
 	return peer.New(peer.Config{
 		Client: i.peerClient,
 		Clock:  clock(i.config.Now),
 		Epoch:  i.config.Epoch,
-		Events: i.recorder.recordPeer,
+		Events: i.recorder.recordPeerEvent,
 		ForwardCancel: func(processID uint32, secret []byte) bool {
 			return i.callers.Cancel(context.Background(), processID, secret)
 		},
@@ -39,12 +39,13 @@
 		Random:         i.randomNumber,
 		ReleasePermits: i.releasePermits,
 		Self:           i.config.Settings.Instance,
-		SheetChanged:   i.adoptSheet,
+		SheetChanged:   i.applySheet,
 		Suspicions:     i.suspicions,
 		Table:          &peerTable{table: i.config.Platform, timeout: timeout},
 	})
 }
 
+// peerClient returns a client for the peer service of the instance at an address.
 func (i *Instance) peerClient(address string) nutmegpierv1connect.PeerServiceClient {
 	scheme := "http://"
 	if i.config.PeerTLS != nil {
@@ -53,7 +54,7 @@
 	return nutmegpierv1connect.NewPeerServiceClient(i.config.PeerHTTP, scheme+address, connect.WithReadMaxBytes(maxPeerMessage), connect.WithInterceptors(&stampInterceptor{events: i.config.Events}))
 }
 
-// peerServer returns the server of the peer listener.
+// peerServer returns the HTTP server of the peer listener.
 func (i *Instance) peerServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.Handle(nutmegpierv1connect.NewPeerServiceHandler(i.peers,
@@ -62,7 +63,8 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: adminHeaderTimeout}
 }
 
-// peerListener returns the listener for other instances, with TLS if it is set up.
+// peerListener returns the listener for other instances, with TLS if it is
+// configured.
 func (i *Instance) peerListener() net.Listener {
 	if i.config.PeerTLS == nil {
 		return i.config.Listeners.Peers
@@ -70,15 +72,16 @@
 	return tls.NewListener(i.config.Listeners.Peers, i.config.PeerTLS)
 }
 
-// adoptSheet puts a newer sheet in force.
-func (i *Instance) adoptSheet(version fleet.SheetVersion, content []byte) {
+// applySheet puts a sheet in force if it is newer than the current one, and makes
+// the server for callers check the keys of open sessions again.
+func (i *Instance) applySheet(version fleet.SheetVersion, content []byte) {
 	record, parsed, err := parseRecord(content)
 	if err != nil {
 		i.config.Events.Record(event.SheetRefused, event.Fields{Text: err.Error()})
 		return
 	}
-	i.adoptMu.Lock()
-	defer i.adoptMu.Unlock()
+	i.sheetMu.Lock()
+	defer i.sheetMu.Unlock()
 	if version <= i.board.Sheet.Load().Version {
 		return
 	}
@@ -93,8 +96,8 @@
 	i.callers.RecheckKeys()
 }
 
-// sheetLimits reads the limits out of the record of a sheet. Connection
-// budgets come from the settings unless the sheet overrides them.
+// sheetLimits returns the rate limits and connection budgets of a sheet's record.
+// Connection budgets that the sheet does not set come from the settings.
 func (i *Instance) sheetLimits(content []byte) (peer.Limits, error) {
 	_, parsed, err := parseRecord(content)
 	if err != nil {
@@ -110,7 +113,8 @@
 	return limits, nil
 }
 
-// permitLimits splits the connection budget of a database over its servers.
+// permitLimits divides the connection budget of a group evenly among its servers;
+// the first ones get the remainder.
 func permitLimits(inForce sheet.Sheet, configured settings.Group) []peer.PermitLimit {
 	budget := configured.Connections
 	if override, found := inForce.Connections(configured.Group); found {
@@ -118,15 +122,16 @@
 	}
 	var limits []peer.PermitLimit
 	for number, server := range configured.Servers {
-		part := budget / len(configured.Servers)
+		serverBudget := budget / len(configured.Servers)
 		if number < budget%len(configured.Servers) {
-			part++
+			serverBudget++
 		}
-		limits = append(limits, peer.PermitLimit{Budget: part, Server: server.Server})
+		limits = append(limits, peer.PermitLimit{Budget: serverBudget, Server: server.Server})
 	}
 	return limits
 }
 
+// suspicions returns the groups whose primary this instance cannot reach.
 func (i *Instance) suspicions() []peer.Suspicion {
 	var all []peer.Suspicion
 	for _, controller := range i.groups {
@@ -144,15 +149,16 @@
 	return all
 }
 
-// ForwardCancel passes a cancel request to the other instances. It returns an
-// error if none of them has the session.
+// ForwardCancel forwards a cancel request to the other instances. It returns an
+// error if none of them runs the session.
 func (i *Instance) ForwardCancel(ctx context.Context, processID uint32, secret []byte) error {
 	if i.peers.ForwardCancelToPeers(ctx, processID, secret) {
 		return nil
 	}
-	return &Error{Op: "forward cancel", Kind: KindUnknownSession, Err: errors.New("no instance has the session")}
+	return &Error{Op: "forward cancel", Kind: KindUnknownSession, Err: errors.New("no live instance runs the session")}
 }
 
+// parseRecord parses the stored record of a sheet and the sheet in it.
 func parseRecord(content []byte) (sheet.Record, sheet.Sheet, error) {
 	record, err := sheet.ParseRecord(content)
 	if err != nil {
--- a/instance/peertable.go
+++ b/instance/peertable.go
@@ -8,7 +8,8 @@
 	"github.com/nutmegpier/nutmegpier/peer"
 )
 
-// peerTable gives the peers the rows of the platform's table.
+// peerTable implements peer.Table with the platform's table. The timeout bounds each
+// call.
 type peerTable struct {
 	table   metastore.Table
 	timeout time.Duration
@@ -16,7 +17,7 @@
 
 var _ peer.Table = &peerTable{}
 
-// Read returns the rows that exist.
+// Read returns those of the rows that exist.
 func (t *peerTable) Read(ctx context.Context, keys []string) ([]peer.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
@@ -27,25 +28,27 @@
 	return peerRows(rows), nil
 }
 
-// Write writes all rows if all conditions hold.
+// Write writes all rows if all conditions hold, and none otherwise. It reports
+// whether it wrote, and returns the rows as they are after the call.
 func (t *peerTable) Write(ctx context.Context, conditions []peer.Condition, rows []peer.Row) (bool, []peer.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
-	var wanted []metastore.Condition
+	var tableConditions []metastore.Condition
 	for _, condition := range conditions {
-		wanted = append(wanted, metastore.Condition{Key: condition.Key, Revision: metastore.Revision(condition.Revision)})
+		tableConditions = append(tableConditions, metastore.Condition{Key: condition.Key, Revision: metastore.Revision(condition.Revision)})
 	}
-	var written []metastore.Row
+	var tableRows []metastore.Row
 	for _, row := range rows {
-		written = append(written, metastore.Row{Key: row.Key, Value: row.Value})
+		tableRows = append(tableRows, metastore.Row{Key: row.Key, Value: row.Value})
 	}
-	applied, after, err := t.table.Write(ctx, wanted, written)
+	applied, after, err := t.table.Write(ctx, tableConditions, tableRows)
 	if err != nil {
 		return false, nil, err
 	}
 	return applied, peerRows(after), nil
 }
 
+// peerRows converts rows of the table to the type of the peer controller.
 func peerRows(rows []metastore.Row) []peer.Row {
 	var result []peer.Row
 	for _, row := range rows {
--- a/instance/placement.go
+++ b/instance/placement.go
@@ -6,8 +6,8 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// placement returns what a sheet says about where work may go, as seen from a
-// data centre.
+// placement returns the data centres and backend servers that a sheet takes out
+// of service, for an instance in the local data centre.
 func placement(s sheet.Sheet, local fleet.DataCentre) group.Placement {
 	result := group.Placement{Local: local}
 	for _, server := range s.Servers {
--- a/instance/publisher.go
+++ b/instance/publisher.go
@@ -15,26 +15,28 @@
 )
 
 const (
-	// acceptWait bounds the wait for a majority of the roster to hold a sheet.
-	acceptWait = 8 * time.Second
-	// resolvePause is the wait between attempts to settle a write without an answer.
-	resolvePause = 200 * time.Millisecond
+	// majorityTimeout bounds the wait until a majority of the roster holds a sheet.
+	majorityTimeout = 8 * time.Second
+	// resolveRetryInterval is the delay between attempts to read whether a write
+	// without an answer took effect.
+	resolveRetryInterval = 200 * time.Millisecond
 )
 
-// holders is what the publisher needs of the other instances.
-type holders interface {
+// distributor distributes published sheets to the other instances.
+type distributor interface {
 	// AwaitMajority waits until a majority of the roster holds the version.
 	AwaitMajority(ctx context.Context, version fleet.SheetVersion) error
-	// OfferSheet takes in a version that this instance has published.
+	// OfferSheet applies a version that this instance has published and makes it
+	// available to the other instances.
 	OfferSheet(version fleet.SheetVersion, content []byte) error
 }
 
-// publisher publishes sheets to the table and reads the published ones.
+// publisher writes sheets to the store's table and reads published ones from it.
 type publisher struct {
-	holders holders
-	now     func() time.Time
-	table   metastore.Table
-	usage   func() sheet.Deployment
+	distributor distributor
+	now         func() time.Time
+	table       metastore.Table
+	usage       func() sheet.Deployment
 }
 
 var (
@@ -42,9 +44,10 @@
 	_ operator.Sheets    = &publisher{}
 )
 
-// storedHead is the head row with the newest sheet.
+// storedHead is the head row of the table with the sheet that it names, the newest
+// one.
 type storedHead struct {
-	// afterBase is the row of the version after the base of a request.
+	// afterBase is the row of the version after the request's base version.
 	afterBase sheet.VersionRow
 	head      peer.Head
 	record    sheet.Record
@@ -52,23 +55,24 @@
 	sheet     sheet.Sheet
 }
 
-// Publish publishes against the base version of the request. The write is
-// conditional on the head row, so that one of several racing requests wins.
+// Publish publishes a sheet as the version after the request's base version. The
+// write is conditional on the head row, so that only one of several concurrent
+// requests succeeds.
 func (p *publisher) Publish(ctx context.Context, request sheet.PublishRequest) (operator.Publication, error) {
-	written := false
+	writeAttempted := false
 	for {
 		stored, err := p.readHead(ctx)
 		if err == nil {
 			stored.afterBase, err = p.readBack(ctx, stored, request.Base)
 		}
-		if err != nil && written {
-			// An earlier attempt may still take effect.
+		if err != nil && writeAttempted {
+			// A write of an earlier iteration may still take effect.
 			return operator.Publication{Outcome: sheet.OutcomeUnknown, Version: request.Base + 1}, nil
 		}
 		if err != nil {
 			return operator.Publication{}, err
 		}
-		decision := sheet.DecidePublish(p.state(stored), request)
+		decision := sheet.DecidePublish(p.publishState(stored), request)
 		publication := operator.Publication{
 			Changes:  decision.Changes,
 			Outcome:  decision.Outcome,
@@ -76,7 +80,7 @@
 			Version:  decision.Version,
 		}
 		if decision.Outcome == sheet.OutcomeStored {
-			publication.Outcome = p.spread(ctx, decision.Version, stored.record)
+			publication.Outcome = p.distribute(ctx, decision.Version, stored.record)
 			return publication, nil
 		}
 		if !decision.Write {
@@ -89,20 +93,20 @@
 			PublishedAt: p.now(),
 			Publisher:   request.Publisher,
 		}
-		written = true
+		writeAttempted = true
 		resolution, err := p.write(ctx, stored, decision.Version, record)
 		if err != nil {
 			publication.Outcome = sheet.OutcomeUnknown
 			return publication, nil
 		}
 		if resolution == sheet.ResolutionStored {
-			publication.Outcome = p.spread(ctx, decision.Version, record)
+			publication.Outcome = p.distribute(ctx, decision.Version, record)
 			return publication, nil
 		}
 	}
 }
 
-// List returns the newest sheets, newest first.
+// List returns at most limit published sheets, newest first.
 func (p *publisher) List(ctx context.Context, limit int) ([]operator.SheetSummary, error) {
 	stored, err := p.readHead(ctx)
 	if err != nil {
@@ -127,7 +131,7 @@
 	return summaries, nil
 }
 
-// Sheet returns a version; zero means the one in force.
+// Sheet returns a published version; version zero means the newest one.
 func (p *publisher) Sheet(ctx context.Context, version fleet.SheetVersion) (operator.SheetVersion, error) {
 	if version == 0 {
 		stored, err := p.readHead(ctx)
@@ -146,7 +150,8 @@
 	return operator.SheetVersion{Content: record.Content, Version: version}, nil
 }
 
-func (p *publisher) state(stored storedHead) sheet.PublishState {
+// publishState returns the state on which sheet.DecidePublish decides.
+func (p *publisher) publishState(stored storedHead) sheet.PublishState {
 	return sheet.PublishState{
 		AfterBase:       stored.afterBase,
 		Current:         stored.sheet,
@@ -156,8 +161,9 @@
 	}
 }
 
-// readBack reads the row of the version after the base of a request, if the
-// head has passed the base.
+// readBack reads the row of the version after the request's base version if the
+// head is past the base. It shows whether an earlier attempt of the same request
+// took effect.
 func (p *publisher) readBack(ctx context.Context, stored storedHead, base fleet.SheetVersion) (sheet.VersionRow, error) {
 	if stored.head.SheetVersion <= base {
 		return sheet.VersionRow{}, nil
@@ -166,8 +172,9 @@
 	return sheet.VersionRow{Found: found, Publication: record.Publication}, err
 }
 
-// write writes a version. A write without an answer is settled by reading the
-// row of the version, until the context ends.
+// write writes the row of a version and the head row. If the write is not
+// confirmed, write reads the version's row back to find out whether it took
+// effect.
 func (p *publisher) write(ctx context.Context, stored storedHead, version fleet.SheetVersion, record sheet.Record) (sheet.Resolution, error) {
 	encoded, err := record.Encode()
 	if err != nil {
@@ -192,36 +199,40 @@
 	return p.resolve(ctx, version, record.Publication)
 }
 
+// resolve reads the row of a version until the read succeeds or the context ends,
+// and reports whether the row was written by the publication.
 func (p *publisher) resolve(ctx context.Context, version fleet.SheetVersion, publication sheet.PublicationID) (sheet.Resolution, error) {
 	for {
 		record, found, err := p.readRecord(ctx, version)
 		if err == nil {
 			return sheet.Resolve(publication, sheet.VersionRow{Found: found, Publication: record.Publication}), nil
 		}
-		if err := pause(ctx, resolvePause); err != nil {
+		if err := sleep(ctx, resolveRetryInterval); err != nil {
 			return "", err
 		}
 	}
 }
 
-// spread hands the version to the other instances and waits until a majority
-// of the roster holds it.
-func (p *publisher) spread(ctx context.Context, version fleet.SheetVersion, record sheet.Record) sheet.Outcome {
+// distribute makes the version available to the other instances and waits until a
+// majority of the roster holds it.
+func (p *publisher) distribute(ctx context.Context, version fleet.SheetVersion, record sheet.Record) sheet.Outcome {
 	encoded, err := record.Encode()
 	if err != nil {
 		return sheet.OutcomeStored
 	}
-	if err := p.holders.OfferSheet(version, encoded); err != nil {
+	if err := p.distributor.OfferSheet(version, encoded); err != nil {
 		return sheet.OutcomeStored
 	}
-	ctx, cancel := context.WithTimeout(ctx, acceptWait)
+	ctx, cancel := context.WithTimeout(ctx, majorityTimeout)
 	defer cancel()
-	if err := p.holders.AwaitMajority(ctx, version); err != nil {
+	if err := p.distributor.AwaitMajority(ctx, version); err != nil {
 		return sheet.OutcomeStored
 	}
 	return sheet.OutcomeAccepted
 }
 
+// readHead reads the head row and the row of the sheet that it names. Without a
+// head row it returns a zero storedHead.
 func (p *publisher) readHead(ctx context.Context) (storedHead, error) {
 	rows, err := p.table.Read(ctx, peer.HeadKey)
 	if err != nil || len(rows) == 0 {
@@ -229,7 +240,7 @@
 	}
 	stored := storedHead{revision: rows[0].Revision}
 	if err := json.Unmarshal(rows[0].Value, &stored.head); err != nil {
-		return storedHead{}, fmt.Errorf("head row: %w", err)
+		return storedHead{}, fmt.Errorf("decode head row: %w", err)
 	}
 	if stored.head.SheetVersion == 0 {
 		return stored, nil
@@ -239,13 +250,14 @@
 		return storedHead{}, err
 	}
 	if !found {
-		return storedHead{}, errors.New("the row of the newest sheet is missing")
+		return storedHead{}, errors.New("the head row names a sheet version that has no row")
 	}
 	stored.record = record
 	stored.sheet, err = sheet.Parse("sheet", []byte(record.Content))
 	return stored, err
 }
 
+// readRecord reads the row of a version.
 func (p *publisher) readRecord(ctx context.Context, version fleet.SheetVersion) (record sheet.Record, found bool, err error) {
 	rows, err := p.table.Read(ctx, peer.SheetKey(version))
 	if err != nil || len(rows) == 0 {
--- a/instance/recorder.go
+++ b/instance/recorder.go
@@ -13,10 +13,12 @@
 	"github.com/nutmegpier/nutmegpier/peer"
 )
 
-// keptPromotions is the number of promotion records that an instance keeps.
-const keptPromotions = 1024
+// maxPromotionRecords is the number of promotion records that an instance keeps
+// in memory.
+const maxPromotionRecords = 1024
 
-// recorder turns what groups and callers report into events.
+// recorder records what the group controllers, the peer controller and the
+// sessions report as events.
 type recorder struct {
 	events *event.Recorder
 
@@ -29,16 +31,18 @@
 	_ group.Recorder       = &recorder{}
 )
 
-// Promotions returns the promotions that this instance ordered, oldest first.
+// Promotions returns the latest promotions that this instance carried out, oldest
+// first.
 func (r *recorder) Promotions() []group.PromotionRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.promotions)
 }
 
-// Record records an event of a session.
+// Record records an event of a session. Events without a number in the catalogue
+// are dropped.
 func (r *recorder) Record(e caller.Event) {
-	number, known := sessionEvent(e.Name)
+	number, known := sessionEventNumber(e.Name)
 	if !known {
 		return
 	}
@@ -50,10 +54,10 @@
 	})
 }
 
-// RecordDetection records a change in the judgement of a primary.
+// RecordDetection records that a primary became suspected or healthy.
 func (r *recorder) RecordDetection(id fleet.GroupID, detection group.Detection) {
 	if detection.Term == 0 {
-		// No primary was known yet, as at each start.
+		// No primary was known before, as after every start.
 		return
 	}
 	number := event.PrimarySuspected
@@ -63,11 +67,11 @@
 	r.events.Record(number, event.Fields{
 		Database: id,
 		Term:     detection.Term,
-		Text:     fmt.Sprintf("%s, %s, silent for %v", detection.Health, detection.Reason, detection.Silence.Round(time.Millisecond)),
+		Text:     fmt.Sprintf("%s, %s, no answer for %v", detection.Health, detection.Reason, detection.Silence.Round(time.Millisecond)),
 	})
 }
 
-// RecordPhase records the steps of a promotion.
+// RecordPhase records that a promotion has entered a phase.
 func (r *recorder) RecordPhase(id fleet.GroupID, phase group.Phase, term fleet.Term) {
 	fields := event.Fields{Database: id, Term: term, Text: string(phase)}
 	switch phase {
@@ -82,11 +86,11 @@
 	}
 }
 
-// RecordPromotion keeps and records a promotion that is established.
+// RecordPromotion stores and records a promotion whose new primary is established.
 func (r *recorder) RecordPromotion(record group.PromotionRecord) {
 	r.mu.Lock()
 	r.promotions = append(r.promotions, record)
-	if excess := len(r.promotions) - keptPromotions; excess > 0 {
+	if excess := len(r.promotions) - maxPromotionRecords; excess > 0 {
 		r.promotions = slices.Delete(r.promotions, 0, excess)
 	}
 	r.mu.Unlock()
@@ -98,14 +102,15 @@
 	})
 }
 
-// recordPeer records an event of the controller for the other instances.
-func (r *recorder) recordPeer(e peer.Event) {
-	if number, known := peerEvent(e.Kind); known {
+// recordPeerEvent records an event of the peer controller.
+func (r *recorder) recordPeerEvent(e peer.Event) {
+	if number, known := peerEventNumber(e.Kind); known {
 		r.events.Record(number, event.Fields{Text: e.Text})
 	}
 }
 
-func peerEvent(kind peer.EventKind) (number event.Number, known bool) {
+// peerEventNumber returns the catalogue number of a peer event, if it has one.
+func peerEventNumber(kind peer.EventKind) (number event.Number, known bool) {
 	switch kind {
 	case peer.EventMemberHeard:
 		return event.MemberHeard, true
@@ -125,7 +130,9 @@
 	return 0, false
 }
 
-func sessionEvent(name caller.EventName) (number event.Number, known bool) {
+// sessionEventNumber returns the catalogue number of a session event, if it has
+// one.
+func sessionEventNumber(name caller.EventName) (number event.Number, known bool) {
 	switch name {
 	case caller.EventAuthenticationFailed:
 		return event.AuthenticationFailed, true
--- a/instance/reload.go
+++ b/instance/reload.go
@@ -7,9 +7,10 @@
 	"github.com/nutmegpier/nutmegpier/settings"
 )
 
-// Reload takes in a settings file that was read again. The settings that can
-// change without a restart are in force when it returns; the others are named
-// in the event and keep their values. With an error nothing changes.
+// Reload applies a settings file that was read again; err is the error of
+// reading it. Settings that can change without a restart are in force when
+// Reload returns. The others keep their values and are listed in the recorded
+// event. If err is not nil, it is recorded and nothing changes.
 func (i *Instance) Reload(configured settings.Settings, err error) {
 	if err != nil {
 		i.config.Events.Record(event.SettingsRefused, event.Fields{Text: err.Error()})
@@ -33,8 +34,8 @@
 	i.config.Events.Record(event.SettingsReloaded, event.Fields{Text: text})
 }
 
-// reloaded returns the old settings with those of the new ones that can change
-// without a restart.
+// reloaded returns the settings before the reload, updated with those that can
+// change without a restart.
 func reloaded(before, after settings.Settings) settings.Settings {
 	next := before
 	next.Admin = after.Admin
@@ -47,6 +48,8 @@
 	return next
 }
 
+// reloadedGroups returns the groups before the reload, updated with the
+// connection budgets and slots of the groups of the same name.
 func reloadedGroups(before, after []settings.Group) []settings.Group {
 	next := make([]settings.Group, len(before))
 	for number, group := range before {
--- a/instance/router.go
+++ b/instance/router.go
@@ -17,34 +17,38 @@
 	"github.com/nutmegpier/nutmegpier/settings"
 )
 
-// retryPause is the time between attempts while a group changes its primary.
-const retryPause = 5 * time.Millisecond
+// retryInterval is the delay between attempts to get a connection, such as during a
+// change of primary.
+const retryInterval = 5 * time.Millisecond
 
-// groupControl is what the router needs of the controller of a group.
+// groupControl is the part of a group controller that the router uses.
 type groupControl interface {
-	// AwaitCommit waits until the outcome of a write is known.
+	// AwaitCommit waits until the outcome of a commit at the position is known.
 	AwaitCommit(ctx context.Context, p fleet.Position) (group.CommitDecision, error)
-	// AwaitFresh waits until a replica may serve the read, and returns the candidates.
+	// AwaitFresh waits until at least one server meets the requirement of a read,
+	// and returns the candidates in the order in which to try them. If none
+	// qualifies within the bound, the primary is the only candidate.
 	AwaitFresh(ctx context.Context, need group.ReadRequirement, choice group.ReplicaSelection, bound time.Duration) ([]fleet.ServerID, error)
-	// AwaitPrimary waits until a primary is known that answers.
+	// AwaitPrimary waits until a reachable primary is known.
 	AwaitPrimary(ctx context.Context) (fleet.ServerID, fleet.Term, error)
-	// Barrier returns a position that contains all writes acknowledged before the arrival.
+	// Barrier returns a position that covers all writes that were acknowledged
+	// before the arrival time.
 	Barrier(ctx context.Context, arrived time.Time) (fleet.Position, error)
-	// ReportFailure notes that a connection to a server failed.
+	// ReportFailure reports that a connection to a server failed.
 	ReportFailure(server fleet.ServerID)
-	// ReportRefusal notes that the server taken for the primary refused a write.
+	// ReportRefusal reports that the server believed to be primary refused a write.
 	ReportRefusal()
 }
 
-// pool is what the router needs of the pool of backend connections.
+// pool is the part of the backend connection pool that the router uses.
 type pool interface {
 	// Acquire waits for a connection to a server.
 	Acquire(ctx context.Context, now time.Time, request backend.PoolRequest) (*backend.PoolLease, error)
-	// Counts returns the state of the pool of a server.
+	// Counts returns the numbers of connections to a server.
 	Counts(server fleet.ServerID) backend.Counts
 }
 
-// routedGroup is a group with what routing needs of it.
+// routedGroup holds a group's controller, servers and view for routing.
 type routedGroup struct {
 	control groupControl
 	id      fleet.GroupID
@@ -52,8 +56,8 @@
 	view    *blackboard.Section[group.View]
 }
 
-// router chooses servers by the view of their group and takes connections from
-// the pool.
+// router chooses a backend server for each request and acquires a connection to it
+// from the pool.
 type router struct {
 	groups   []routedGroup
 	now      func() time.Time
@@ -72,10 +76,10 @@
 	_ caller.Router       = &router{}
 )
 
-// Acquire returns a connection to a server that may serve the request.
+// Acquire returns a lease of a connection to a server that may serve the request.
 func (r *router) Acquire(ctx context.Context, request caller.Request) (caller.Lease, error) {
 	request.Database = cmp.Or(request.Database, request.Group)
-	routed, err := r.find(request.Group)
+	routed, err := r.findGroup(request.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -90,9 +94,10 @@
 	return r.acquirePrimary(ctx, routed, request)
 }
 
-// AwaitCommit waits at most for the commit bound until the outcome is known.
+// AwaitCommit waits until the outcome of a commit is known, for at most
+// Timeouts.CommitBound.
 func (r *router) AwaitCommit(ctx context.Context, id fleet.GroupID, position fleet.Position) (caller.Outcome, error) {
-	routed, err := r.find(id)
+	routed, err := r.findGroup(id)
 	if err != nil {
 		return caller.OutcomeUnknown, err
 	}
@@ -108,32 +113,35 @@
 	return caller.OutcomeUnknown, err
 }
 
-// Barrier returns a position that covers all writes acknowledged before arrivedAt.
+// Barrier returns a position that covers all writes of the group that were
+// acknowledged before arrivedAt.
 func (r *router) Barrier(ctx context.Context, id fleet.GroupID, arrivedAt time.Time) (fleet.Position, error) {
-	routed, err := r.find(id)
+	routed, err := r.findGroup(id)
 	if err != nil {
 		return fleet.Position{}, err
 	}
 	position, err := routed.control.Barrier(ctx, arrivedAt)
 	if err != nil {
-		return fleet.Position{}, routeError("barrier", err)
+		return fleet.Position{}, toCallerError("barrier", err)
 	}
 	return position, nil
 }
 
-// acquireRead tries the candidates in order. A candidate whose connection
-// fails is reported, and the next one is tried.
+// acquireRead returns a lease for a read. It tries the candidates in order until the
+// deadline of the request.
 func (r *router) acquireRead(ctx context.Context, routed routedGroup, request caller.Request) (caller.Lease, error) {
-	need := group.ReadRequirement{
+	requirement := group.ReadRequirement{
 		MaxAge:  request.MaxAge,
 		Seen:    request.Token.Seen,
 		Written: request.Token.Written,
 	}
 	for {
+		// The primary may change while AwaitFresh waits. A candidate that was
+		// primary before or after the wait is leased as primary.
 		before := routed.view.Load().Primary
-		candidates, err := routed.control.AwaitFresh(ctx, need, r.choice(routed), r.timeouts().FreshWait)
+		candidates, err := routed.control.AwaitFresh(ctx, requirement, r.selection(routed), r.timeouts().FreshWait)
 		if err != nil {
-			return nil, routeError("choose replica", err)
+			return nil, toCallerError("choose replica", err)
 		}
 		after := routed.view.Load().Primary
 		isPrimary := func(server fleet.ServerID) bool { return server == before || server == after }
@@ -141,39 +149,43 @@
 		if lease != nil || isFinal(ctx, err) {
 			return lease, err
 		}
-		if err := pause(ctx, retryPause); err != nil {
-			return nil, routeError("choose replica", err)
+		if err := sleep(ctx, retryInterval); err != nil {
+			return nil, toCallerError("choose replica", err)
 		}
 	}
 }
 
-// acquirePrimary waits through a change of primary until the deadline.
+// acquirePrimary returns a lease on the primary. During a change of primary it
+// retries until the deadline of the request.
 func (r *router) acquirePrimary(ctx context.Context, routed routedGroup, request caller.Request) (caller.Lease, error) {
 	for {
 		server, _, err := routed.control.AwaitPrimary(ctx)
 		if err != nil {
-			return nil, routeError("find primary", err)
+			return nil, toCallerError("find primary", err)
 		}
 		if server == request.Exclude {
 			routed.control.ReportRefusal()
 		}
-		chosen := func(fleet.ServerID) bool { return true }
-		lease, err := r.tryServers(ctx, routed, request, []fleet.ServerID{server}, chosen)
+		isPrimary := func(fleet.ServerID) bool { return true }
+		lease, err := r.tryServers(ctx, routed, request, []fleet.ServerID{server}, isPrimary)
 		if lease != nil || isFinal(ctx, err) {
 			return lease, err
 		}
-		if err := pause(ctx, retryPause); err != nil {
-			return nil, routeError("find primary", err)
+		if err := sleep(ctx, retryInterval); err != nil {
+			return nil, toCallerError("find primary", err)
 		}
 	}
 }
 
-// tryServers returns a lease of the first server that gives a connection. The
-// error is that of the last one that was tried. IsPrimary tells what a server
-// was chosen as: only commits on a primary's lease wait for their evidence, so
-// a change of the view after the choice must not turn it into a replica's.
+// tryServers returns a lease on the first server to which the pool has a connection,
+// or the error of the last server that it tried. Failed connections are reported to
+// the group controller.
+//
+// isPrimary reports whether a server was chosen as primary. Only commits on a
+// primary's lease wait for proof that a majority has them, so a change of the view
+// after the choice must not turn the lease into a replica's.
 func (r *router) tryServers(ctx context.Context, routed routedGroup, request caller.Request, servers []fleet.ServerID, isPrimary func(fleet.ServerID) bool) (caller.Lease, error) {
-	var last error = &caller.Error{
+	var lastErr error = &caller.Error{
 		Op:      "acquire",
 		Kind:    caller.KindBackendLost,
 		Err:     fmt.Errorf("database %q: no backend server can serve the request", routed.id),
@@ -189,14 +201,15 @@
 		if err == nil {
 			return lease, nil
 		}
-		last = routeError("acquire", err)
+		lastErr = toCallerError("acquire", err)
 		if isConnectionFailure(err) {
 			routed.control.ReportFailure(server)
 		}
 	}
-	return nil, last
+	return nil, lastErr
 }
 
+// poolRequest returns the request to the pool for a connection to a server.
 func (r *router) poolRequest(server fleet.ServerID, request caller.Request) backend.PoolRequest {
 	weight := 1
 	if limits, found := r.sheet.Load().Index.Limits(request.Workspace); found {
@@ -212,20 +225,21 @@
 	}
 }
 
-func (r *router) choice(routed routedGroup) group.ReplicaSelection {
-	choice := group.ReplicaSelection{
+// selection returns how a replica of the group is to be selected now.
+func (r *router) selection(routed routedGroup) group.ReplicaSelection {
+	selection := group.ReplicaSelection{
 		Placement: r.sheet.Load().Placement,
 		Random:    r.newRandom(),
 		Strategy:  r.strategy,
 	}
 	for _, server := range routed.servers {
 		counts := r.pool.Counts(server)
-		choice.Loads = append(choice.Loads, group.Load{Outstanding: counts.InUse + counts.Waiting, Server: server})
+		selection.Loads = append(selection.Loads, group.Load{Outstanding: counts.InUse + counts.Waiting, Server: server})
 	}
-	return choice
+	return selection
 }
 
-// newRandom returns a source for one decision, because sources are not safe
+// newRandom returns a random source for one decision, because sources are not safe
 // for concurrent use.
 func (r *router) newRandom() *rand.Rand {
 	r.randomMu.Lock()
@@ -233,12 +247,13 @@
 	return rand.New(rand.NewPCG(r.random.Uint64(), r.random.Uint64()))
 }
 
+// authorize checks that the workspace of a request may access its database.
 func (r *router) authorize(request caller.Request) error {
-	current := r.sheet.Load().Index
-	if current.MayUse(request.Workspace, request.Database) {
+	index := r.sheet.Load().Index
+	if index.MayUse(request.Workspace, request.Database) {
 		return nil
 	}
-	if request.Access == caller.AccessRead && current.IsOpenToAll(request.Database) {
+	if request.Access == caller.AccessRead && index.IsOpenToAll(request.Database) {
 		return nil
 	}
 	return &caller.Error{
@@ -249,7 +264,8 @@
 	}
 }
 
-func (r *router) find(id fleet.GroupID) (routedGroup, error) {
+// findGroup returns the group with an identifier.
+func (r *router) findGroup(id fleet.GroupID) (routedGroup, error) {
 	for _, routed := range r.groups {
 		if routed.id == id {
 			return routed, nil
@@ -263,16 +279,18 @@
 	}
 }
 
-// routeError gives an error of the group or the pool the kind that callers see.
-func routeError(op string, err error) error {
-	var already *caller.Error
-	if errors.As(err, &already) {
-		return already
+// toCallerError converts an error of the group controller or the pool to an error
+// for the caller.
+func toCallerError(op string, err error) error {
+	var callerErr *caller.Error
+	if errors.As(err, &callerErr) {
+		return callerErr
 	}
-	return &caller.Error{Op: op, Kind: routeKind(err), Err: err, Outcome: caller.OutcomeNotRun}
+	return &caller.Error{Op: op, Kind: toCallerKind(err), Err: err, Outcome: caller.OutcomeNotRun}
 }
 
-func routeKind(err error) caller.Kind {
+// toCallerKind returns the kind of the error for the caller.
+func toCallerKind(err error) caller.Kind {
 	var groupErr *group.Error
 	if errors.As(err, &groupErr) && groupErr.Kind == group.KindWriteLost {
 		return caller.KindPositionLost
@@ -287,7 +305,7 @@
 	return caller.KindBackendLost
 }
 
-// isFinal reports whether another attempt is of no use.
+// isFinal reports whether another attempt cannot succeed.
 func isFinal(ctx context.Context, err error) bool {
 	if ctx.Err() != nil {
 		return true
@@ -296,8 +314,8 @@
 	return errors.As(err, &callerErr) && callerErr.Kind != caller.KindBackendLost
 }
 
-// pause waits for a while or until the context ends.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for a duration, or returns the context's error when it ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -308,6 +326,7 @@
 	}
 }
 
+// isConnectionFailure reports whether a connection to a backend server failed.
 func isConnectionFailure(err error) bool {
 	var backendErr *backend.Error
 	return errors.As(err, &backendErr) && backendErr.Kind == backend.KindConnection
--- a/instance/router_test.go
+++ b/instance/router_test.go
@@ -16,7 +16,8 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// changingControl names a primary, and changes the view right after.
+// changingControl is a group controller that returns s1 as the server, after
+// storing a view in which s2 is the primary.
 type changingControl struct {
 	*group.Controller
 
@@ -33,7 +34,7 @@
 	return "s1", 1, nil
 }
 
-// recordingPool records what it is asked for and refuses it.
+// recordingPool records the requests for connections and refuses them.
 type recordingPool struct {
 	requests []backend.PoolRequest
 }
@@ -47,9 +48,10 @@
 	return backend.Counts{}
 }
 
-// TestLeaseStaysPrimary guards against a commit that is passed on without the
-// evidence of a majority, because the view of the group changed between the
-// choice of the primary and the lease of its connection.
+// TestLeaseStaysPrimary guards against a commit that is acknowledged to the caller
+// without proof that a majority has it. That happens when a server is chosen as
+// primary but its connection is leased as a replica's, because the view of the
+// group changed in between.
 func TestLeaseStaysPrimary(t *testing.T) {
 	published := sheet.Sheet{Workspaces: []sheet.Workspace{{Databases: []fleet.GroupID{testDatabase}, Workspace: testWorkspace}}}
 	for _, access := range []caller.Access{caller.AccessRead, caller.AccessWrite} {
@@ -64,7 +66,7 @@
 				Workspace: testWorkspace,
 			})
 			if err == nil {
-				t.Fatal("Acquire succeeded, want the refusal of the pool")
+				t.Fatal("Acquire succeeded, want the error of the pool")
 			}
 			want := []bool{true}
 			var got []bool
@@ -72,7 +74,7 @@
 				got = append(got, request.Primary)
 			}
 			if diff := cmp.Diff(want, got); diff != "" {
-				t.Errorf("leases as primary (-want +got):\n%s", diff)
+				t.Errorf("requests for a lease as primary (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/instance/run.go
+++ b/instance/run.go
@@ -12,43 +12,45 @@
 	"github.com/nutmegpier/nutmegpier/event"
 )
 
-// leaveBound bounds the hand-over of shares at a planned stop.
-const leaveBound = 3 * time.Second
+// leaveTimeout bounds the transfer of shares to the peers at a planned stop.
+const leaveTimeout = 3 * time.Second
 
-// AwaitReady waits until the instance takes callers and holds a share of each
-// workspace's limit.
+// AwaitReady waits until the instance accepts callers and holds a share of each
+// workspace's rate limit.
 func (i *Instance) AwaitReady(ctx context.Context) error {
 	for !i.ready(i.config.Now()) || !i.holdsShares() {
-		if err := pause(ctx, keepInterval); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// holdsShares reports whether the instance holds a share of each limit. A new
-// workspace or instance gets one after a change of the roster is complete.
+// holdsShares reports whether the instance holds a share of each rate limit above
+// zero. A new workspace or instance gets its shares when a change of the roster is
+// complete.
 func (i *Instance) holdsShares() bool {
 	for _, entry := range i.board.Sheet.Load().Sheet.Workspaces {
-		if entry.Rate > 0 && i.limits.Share(entry.Workspace).Rate == 0 {
+		if entry.Rate > 0 && i.limiter.Share(entry.Workspace).Rate == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Kill makes Run return without a drain, as if the process had died.
+// Kill makes Run return without draining, as if the process had crashed.
 func (i *Instance) Kill() {
 	i.killOnce.Do(func() { close(i.kill) })
 }
 
-// Run serves until the context ends, and then drains for at most the stop
-// bound. It returns an error if sessions had to be cut off.
+// Run serves until the context ends, and then drains for at most
+// Timeouts.StopBound. It returns an error if sessions were terminated because that
+// time was over.
 func (i *Instance) Run(ctx context.Context) error {
 	i.config.Events.Record(event.InstanceStarted, event.Fields{Text: string(i.config.Settings.Instance)})
-	running, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	tasks := i.start(running)
+	tasks := i.start(runCtx)
 	i.board.Lifecycle.Store(LifecycleServing)
 	i.config.Events.Record(event.InstanceServing, event.Fields{})
 
@@ -56,12 +58,12 @@
 	killed := false
 	select {
 	case <-ctx.Done():
-		err = i.drain(running)
+		err = i.drain(runCtx)
 	case <-i.kill:
 		killed = true
-		expired, cancel := context.WithCancel(running)
+		canceledCtx, cancel := context.WithCancel(runCtx)
 		cancel()
-		_ = i.callers.Drain(expired)
+		_ = i.callers.Drain(canceledCtx)
 	}
 	stop()
 	i.pool.Close()
@@ -69,13 +71,14 @@
 	i.board.Lifecycle.Store(LifecycleStopped)
 	i.config.Events.Record(event.InstanceStopped, event.Fields{})
 	if !killed {
-		// Without the store the last events are lost with the process.
-		_ = i.archive.save(context.WithoutCancel(ctx))
+		// If the store is unavailable, the events since the last snapshot are lost.
+		_ = i.archive.saveSnapshot(context.WithoutCancel(ctx))
 	}
 	return err
 }
 
-// start starts all controllers and servers. They run until the context ends.
+// start starts all controllers and servers. They run until the context ends,
+// except the server for callers, which runs until it is drained.
 func (i *Instance) start(ctx context.Context) *errgroup.Group {
 	tasks := &errgroup.Group{}
 	for _, controller := range i.groups {
@@ -89,36 +92,37 @@
 		tasks.Go(func() error { return i.watchGroup(ctx, section) })
 	}
 	tasks.Go(func() error { return serveHTTP(ctx, i.peerServer(), i.peerListener()) })
-	tasks.Go(func() error { return serveHTTP(ctx, i.adminServer(i.newOperator()), i.config.Listeners.Admin) })
+	tasks.Go(func() error { return serveHTTP(ctx, i.adminServer(i.newAdminAPI()), i.config.Listeners.Admin) })
 	tasks.Go(func() error {
 		_ = i.peers.Run(ctx)
 		return nil
 	})
 	tasks.Go(func() error { return i.archive.run(ctx) })
-	tasks.Go(func() error { return i.keepPool(ctx) })
-	tasks.Go(func() error { return i.watchService(ctx) })
+	tasks.Go(func() error { return i.maintainPool(ctx) })
+	tasks.Go(func() error { return i.watchServingState(ctx) })
 	tasks.Go(func() error { return i.callers.Serve(i.config.Listeners.Callers) })
 	return tasks
 }
 
-// drain lets running transactions finish, closes idle sessions, and hands the
+// drain lets running transactions finish, closes idle sessions, and transfers the
 // shares of the instance to its peers.
-func (i *Instance) drain(running context.Context) error {
+func (i *Instance) drain(runCtx context.Context) error {
 	i.board.Lifecycle.Store(LifecycleDraining)
 	i.config.Events.Record(event.InstanceDraining, event.Fields{})
-	ctx, cancel := context.WithTimeout(running, i.settings.Load().Timeouts.StopBound)
+	ctx, cancel := context.WithTimeout(runCtx, i.settings.Load().Timeouts.StopBound)
 	defer cancel()
 	if err := i.callers.Drain(ctx); err != nil {
 		return &Error{Op: "drain", Kind: KindStop, Err: err}
 	}
-	leaving, cancelLeave := context.WithTimeout(running, leaveBound)
+	leaveCtx, cancelLeave := context.WithTimeout(runCtx, leaveTimeout)
 	defer cancelLeave()
-	// Without an answer in time, the peers take the shares back by eviction.
-	_ = i.peers.Leave(leaving)
+	// If the transfer is not confirmed in time, the peers get the shares when they
+	// remove this instance from the roster.
+	_ = i.peers.Leave(leaveCtx)
 	return nil
 }
 
-// serveHTTP serves until the context ends.
+// serveHTTP serves HTTP requests until the context ends.
 func serveHTTP(ctx context.Context, server *http.Server, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
--- a/instance/service.go
+++ b/instance/service.go
@@ -8,56 +8,60 @@
 	"github.com/nutmegpier/nutmegpier/event"
 )
 
-// leaveGrace is the time for which an instance in a data centre that was taken
-// out still serves requests of sessions that it is about to close.
-const leaveGrace = 2 * time.Second
+// outOfServiceGracePeriod is how long an instance still serves requests of the
+// sessions that it is closing, after its data centre was taken out of service.
+const outOfServiceGracePeriod = 2 * time.Second
 
-// service follows whether the data centre of the instance is in service.
-type service struct {
-	mu       sync.Mutex
-	outSince time.Time
+// dataCentreState holds whether the data centre of the instance is in service.
+type dataCentreState struct {
+	mu sync.Mutex
+	// outOfServiceSince is zero while the data centre is in service.
+	outOfServiceSince time.Time
 }
 
-// observe takes in whether the data centre is in service. It reports whether
-// that has changed.
-func (s *service) observe(now time.Time, inService bool) (changed bool) {
+// setInService sets whether the data centre is in service, and reports whether that
+// is a change.
+func (s *dataCentreState) setInService(now time.Time, inService bool) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	changed = s.outSince.IsZero() != inService
+	changed = s.outOfServiceSince.IsZero() != inService
 	switch {
 	case inService:
-		s.outSince = time.Time{}
+		s.outOfServiceSince = time.Time{}
 	case changed:
-		s.outSince = now
+		s.outOfServiceSince = now
 	}
 	return changed
 }
 
-// takesRequests reports whether requests of open sessions are served.
-func (s *service) takesRequests(now time.Time) bool {
+// acceptsRequests reports whether requests of open sessions are still served.
+func (s *dataCentreState) acceptsRequests(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.outSince.IsZero() || now.Before(s.outSince.Add(leaveGrace))
+	return s.outOfServiceSince.IsZero() || now.Before(s.outOfServiceSince.Add(outOfServiceGracePeriod))
 }
 
-// watchService closes idle sessions while the instance is not to serve: when
-// its validity lease has lapsed, or its data centre was taken out.
-func (i *Instance) watchService(ctx context.Context) error {
+// watchServingState closes idle sessions when the validity lease of the instance
+// has expired, and while its data centre is out of service. It records changes of
+// both as events.
+func (i *Instance) watchServingState(ctx context.Context) error {
 	valid := false
 	for {
 		now := i.config.Now()
-		if isValid := i.limits.Valid(now); isValid != valid {
+		if isValid := i.limiter.Valid(now); isValid != valid {
 			valid = isValid
-			i.noteValidity(valid)
+			i.handleValidityChange(valid)
 		}
-		i.followDataCentre(now)
-		if err := pause(ctx, keepInterval); err != nil {
+		i.updateDataCentreState(now)
+		if err := sleep(ctx, pollInterval); err != nil {
 			return nil
 		}
 	}
 }
 
-func (i *Instance) noteValidity(valid bool) {
+// handleValidityChange records that the validity lease was gained or lost, and
+// closes idle sessions when it was lost.
+func (i *Instance) handleValidityChange(valid bool) {
 	if valid {
 		i.config.Events.Record(event.ValidityGained, event.Fields{})
 		return
@@ -66,11 +70,13 @@
 	i.callers.StopIdle("the instance cannot prove that its configuration is in force")
 }
 
-func (i *Instance) followDataCentre(now time.Time) {
+// updateDataCentreState applies the state of the local data centre from the sheet in
+// force, and closes idle sessions while it is out of service.
+func (i *Instance) updateDataCentreState(now time.Time) {
 	local := i.config.Settings.DataCentre
 	inService := i.board.Sheet.Load().Index.IsInService(local)
-	if i.service.observe(now, inService) {
-		text := "data centre " + string(local) + " taken out"
+	if i.dataCentreState.setInService(now, inService) {
+		text := "data centre " + string(local) + " taken out of service"
 		if inService {
 			text = "data centre " + string(local) + " back in service"
 		}
--- a/instance/shares.go
+++ b/instance/shares.go
@@ -9,38 +9,40 @@
 	"github.com/nutmegpier/nutmegpier/workspace"
 )
 
-// shares gives the gate the shares of this instance.
-type shares struct {
+// peerLimiter implements limiter with the shares of rate limits and connection
+// budgets that the peer controller holds for this instance.
+type peerLimiter struct {
 	peers *peer.Controller
 }
 
-var _ limits = &shares{}
+var _ limiter = &peerLimiter{}
 
-// Admit decides on one request. Before it refuses, it asks the peers for
-// shares once.
-func (s *shares) Admit(now time.Time, id fleet.WorkspaceID) workspace.Decision {
+// Admit decides whether one request is admitted. Before refusing it, Admit
+// requests shares from the peers once.
+func (s *peerLimiter) Admit(now time.Time, id fleet.WorkspaceID) workspace.Decision {
 	if decision := s.peers.Admit(now, id); decision.Admitted {
 		return decision
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), shareWait)
+	ctx, cancel := context.WithTimeout(context.Background(), shareRequestTimeout)
 	defer cancel()
 	return s.peers.AdmitOrRequestShares(ctx, id)
 }
 
-// Permits returns the number of connections that may be open to a server.
-func (s *shares) Permits(server fleet.ServerID) int {
+// Permits returns the number of connections that may be open to a backend server.
+func (s *peerLimiter) Permits(server fleet.ServerID) int {
 	return s.peers.Permits(server)
 }
 
-// Share returns the share of a workspace's limit that is held now.
-func (s *shares) Share(id fleet.WorkspaceID) workspace.Share {
+// Share returns the share of a workspace's rate limit that this instance holds
+// now.
+func (s *peerLimiter) Share(id fleet.WorkspaceID) workspace.Share {
 	return s.peers.Share(id)
 }
 
-// Valid reports whether the instance may serve at this time.
-func (s *shares) Valid(now time.Time) bool {
+// Valid reports whether the validity lease of the instance holds at this time.
+func (s *peerLimiter) Valid(now time.Time) bool {
 	return s.peers.Valid(now)
 }
 
-// shareWait bounds the time that a request waits for shares of peers.
-const shareWait = 50 * time.Millisecond
+// shareRequestTimeout bounds how long a request waits for shares from peers.
+const shareRequestTimeout = 50 * time.Millisecond
--- a/instance/stampinterceptor.go
+++ b/instance/stampinterceptor.go
@@ -9,11 +9,11 @@
 	"github.com/nutmegpier/nutmegpier/event"
 )
 
-// stampHeader carries the stamp of the event clock in messages between instances.
+// stampHeader is the HTTP header with the event stamp of the sending instance.
 const stampHeader = "Nutmegpier-Stamp"
 
-// stampInterceptor passes on the event clocks with the messages between
-// instances, so that a merged timeline has causes before their effects.
+// stampInterceptor exchanges event stamps with every call between instances, so
+// that a merged timeline shows causes before their effects.
 type stampInterceptor struct {
 	events *event.Recorder
 }
@@ -32,33 +32,36 @@
 	return next
 }
 
-// WrapUnary stamps what this side sends and observes what it receives.
+// WrapUnary adds a stamp to each message that this instance sends, and observes the
+// stamp of each message that it receives.
 func (s *stampInterceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, request connect.AnyRequest) (connect.AnyResponse, error) {
 		if request.Spec().IsClient {
-			s.send(request.Header())
+			s.writeStamp(request.Header())
 		} else {
-			s.receive(request.Header())
+			s.readStamp(request.Header())
 		}
 		response, err := next(ctx, request)
 		if err != nil {
 			return nil, err
 		}
 		if request.Spec().IsClient {
-			s.receive(response.Header())
+			s.readStamp(response.Header())
 		} else {
-			s.send(response.Header())
+			s.writeStamp(response.Header())
 		}
 		return response, nil
 	}
 }
 
-func (s *stampInterceptor) send(header http.Header) {
+// writeStamp adds a new stamp to the headers of a message.
+func (s *stampInterceptor) writeStamp(header http.Header) {
 	header.Set(stampHeader, s.events.Stamp().String())
 }
 
-// receive ignores a missing or malformed stamp, as an older instance may send.
-func (s *stampInterceptor) receive(header http.Header) {
+// readStamp observes the stamp in the headers of a message. It ignores a missing or
+// malformed one, which an older instance may send.
+func (s *stampInterceptor) readStamp(header http.Header) {
 	if stamp, err := event.ParseStamp(header.Get(stampHeader)); err == nil {
 		s.events.Observe(stamp)
 	}
