--- a/instance/status.go
+++ b/instance/status.go
@@ -12,7 +12,7 @@
 
 var _ operator.StatusSource = &Instance{}
 
-// Status returns the state of the instance and what it knows of the others.
+// Status returns the state of this instance and its view of the other instances.
 func (i *Instance) Status() operator.Status {
 	now := i.config.Now()
 	inForce := i.board.Sheet.Load()
@@ -23,12 +23,12 @@
 		Instance:   i.config.Settings.Instance,
 		Instances:  i.instanceStatus(now),
 		Lifecycle:  string(i.board.Lifecycle.Load()),
-		Pools:      i.allPools(),
+		Pools:      i.allPoolStatus(),
 
 		RosterGeneration: i.peers.Versions().Generation,
 
 		SheetVersion: inForce.Version,
-		Valid:        i.limits.Valid(now),
+		Valid:        i.limiter.Valid(now),
 		Workspaces:   i.workspaceStatus(inForce.Sheet),
 	}
 	for _, section := range i.board.Groups {
@@ -37,8 +37,8 @@
 	return status
 }
 
-// allPools returns the state of the pools of all servers.
-func (i *Instance) allPools() []operator.PoolStatus {
+// allPoolStatus returns the state of the connection pools of all backend servers.
+func (i *Instance) allPoolStatus() []operator.PoolStatus {
 	var pools []operator.PoolStatus
 	for _, controller := range i.groups {
 		pools = append(pools, i.poolStatus(controller.settings)...)
@@ -46,23 +46,24 @@
 	return pools
 }
 
-// instanceStatus returns what is known of the other instances.
+// instanceStatus returns the last known state of the other instances.
 func (i *Instance) instanceStatus(now time.Time) []operator.InstanceStatus {
 	var instances []operator.InstanceStatus
-	for _, known := range i.peers.Peers(now) {
+	for _, peerStatus := range i.peers.Peers(now) {
 		instances = append(instances, operator.InstanceStatus{
-			Address:          known.Address,
-			Epoch:            known.Member.Epoch,
-			Instance:         known.Member.Instance,
-			RosterGeneration: known.Held.Generation,
-			SheetVersion:     known.Held.Sheet,
-			SilenceMs:        known.Silence.Milliseconds(),
-			State:            string(known.State),
+			Address:          peerStatus.Address,
+			Epoch:            peerStatus.Member.Epoch,
+			Instance:         peerStatus.Member.Instance,
+			RosterGeneration: peerStatus.Held.Generation,
+			SheetVersion:     peerStatus.Held.Sheet,
+			SilenceMs:        peerStatus.Silence.Milliseconds(),
+			State:            string(peerStatus.State),
 		})
 	}
 	return instances
 }
 
+// poolStatus returns the state of the connection pools of a group's servers.
 func (i *Instance) poolStatus(configured settings.Group) []operator.PoolStatus {
 	var pools []operator.PoolStatus
 	for _, server := range configured.Servers {
@@ -71,7 +72,7 @@
 			Busy:    counts.InUse,
 			Idle:    counts.Idle,
 			Opening: counts.Opening,
-			Permits: i.limits.Permits(server.Server),
+			Permits: i.limiter.Permits(server.Server),
 			Server:  server.Server,
 			Waiting: counts.Waiting,
 		})
@@ -79,21 +80,24 @@
 	return pools
 }
 
+// workspaceStatus returns the request counts and rate shares of all workspaces.
 func (i *Instance) workspaceStatus(inForce sheet.Sheet) []operator.WorkspaceStatus {
 	var workspaces []operator.WorkspaceStatus
 	for _, workspace := range inForce.Workspaces {
-		counts := i.metrics.workspace(workspace.Workspace)
+		requestCounts := i.metrics.workspace(workspace.Workspace)
 		workspaces = append(workspaces, operator.WorkspaceStatus{
-			Admitted:  uint64(counts.admitted.Value()),
+			Admitted:  uint64(requestCounts.admitted.Value()),
 			Rate:      workspace.Rate,
-			Refused:   uint64(counts.refused.Value()),
-			Share:     i.limits.Share(workspace.Workspace).Rate,
+			Refused:   uint64(requestCounts.refused.Value()),
+			Share:     i.limiter.Share(workspace.Workspace).Rate,
 			Workspace: workspace.Workspace,
 		})
 	}
 	return workspaces
 }
 
+// drainStatus returns the data centres and backend servers that the sheet takes
+// out of service, with the connections to them that are still in use.
 func (i *Instance) drainStatus(inForce sheet.Sheet) []operator.DrainStatus {
 	var drains []operator.DrainStatus
 	for _, dataCentre := range inForce.DataCentres {
@@ -101,7 +105,7 @@
 			drains = append(drains, operator.DrainStatus{
 				Kind:      "DataCentre",
 				Name:      string(dataCentre.DataCentre),
-				Remaining: i.busyWhere(func(s settings.Server) bool { return s.DataCentre == dataCentre.DataCentre }),
+				Remaining: i.connectionsInUse(func(s settings.Server) bool { return s.DataCentre == dataCentre.DataCentre }),
 			})
 		}
 	}
@@ -110,35 +114,39 @@
 			drains = append(drains, operator.DrainStatus{
 				Kind:      "Server",
 				Name:      string(server.Server),
-				Remaining: i.busyWhere(func(s settings.Server) bool { return s.Server == server.Server }),
+				Remaining: i.connectionsInUse(func(s settings.Server) bool { return s.Server == server.Server }),
 			})
 		}
 	}
 	return drains
 }
 
-// busyWhere counts the connections in use to the servers that match.
-func (i *Instance) busyWhere(match func(settings.Server) bool) int {
-	busy := 0
+// connectionsInUse returns the number of connections in use to the backend
+// servers that match.
+func (i *Instance) connectionsInUse(match func(settings.Server) bool) int {
+	inUse := 0
 	for _, configured := range i.config.Settings.Groups {
 		for _, server := range configured.Servers {
 			if match(server) {
-				busy += i.pool.Counts(server.Server).InUse
+				inUse += i.pool.Counts(server.Server).InUse
 			}
 		}
 	}
-	return busy
+	return inUse
 }
 
+// groupStatus returns the state of a group's servers. A server's lag is the
+// distance between the primary's end of log and the position that it has applied;
+// its silence is -1 if it has never answered.
 func groupStatus(now time.Time, view group.View) operator.GroupStatus {
 	status := operator.GroupStatus{Group: view.Group, Primary: view.Primary, Term: view.Term}
 	primary, _ := view.Server(view.Primary)
-	end := primary.Status.Log.Log
+	endOfLog := primary.Status.Log.Log
 	for _, server := range view.Servers {
 		reported := server.Status
 		lag := uint64(0)
-		if end > reported.Applied.Log {
-			lag = uint64(end - reported.Applied.Log)
+		if endOfLog > reported.Applied.Log {
+			lag = uint64(endOfLog - reported.Applied.Log)
 		}
 		silence := int64(-1)
 		if !server.RespondedAt.IsZero() {
--- a/instance/tls.go
+++ b/instance/tls.go
@@ -8,23 +8,24 @@
 	"github.com/nutmegpier/nutmegpier/settings"
 )
 
-// security holds the TLS configurations of an instance. Nil parts mean no TLS.
-type security struct {
+// tlsConfigs holds the TLS configurations of an instance. A nil field means no TLS.
+type tlsConfigs struct {
 	callers    func() *tls.Config
 	peerClient *tls.Config
 	peerServer *tls.Config
 }
 
-// openTLS reads the files of the settings. They are read again when they change.
-func openTLS(configured settings.TLS) (security, error) {
-	var result security
+// loadTLS loads the certificate files that the settings name. The configurations
+// load them again when they change.
+func loadTLS(configured settings.TLS) (tlsConfigs, error) {
+	var result tlsConfigs
 	if configured.Callers.CertFile != "" {
 		files, err := peer.LoadTLS(peer.TLSFiles{
 			Certificate: configured.Callers.CertFile,
 			Key:         configured.Callers.KeyFile,
 		}, clock(time.Now))
 		if err != nil {
-			return security{}, &Error{Op: "TLS for callers", Kind: KindSettings, Err: err}
+			return tlsConfigs{}, &Error{Op: "load TLS files for callers", Kind: KindSettings, Err: err}
 		}
 		result.callers = files.ServerWithoutClientAuth
 	}
@@ -35,7 +36,7 @@
 			Key:         configured.Peers.KeyFile,
 		}, clock(time.Now))
 		if err != nil {
-			return security{}, &Error{Op: "TLS between instances", Kind: KindSettings, Err: err}
+			return tlsConfigs{}, &Error{Op: "load TLS files for peers", Kind: KindSettings, Err: err}
 		}
 		result.peerClient = files.Client()
 		result.peerServer = files.Server()
