--- a/backend/conn.go
+++ b/backend/conn.go
@@ -390,7 +390,7 @@
 		return err
 	}
 	if len(body) < 4 {
-		return c.fail("authenticate", errors.New("the authentication message is shorter than 4 bytes"))
+		return c.fail("authenticate", errors.New("short authentication message"))
 	}
 	switch code := binary.BigEndian.Uint32(body); code {
 	case pgproto3.AuthTypeOk:
@@ -400,14 +400,14 @@
 	case pgproto3.AuthTypeSASL:
 		return c.authenticateSCRAM()
 	default:
-		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: fmt.Errorf("the server requests authentication type %d, which is not supported", code)}
+		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: fmt.Errorf("authentication type %d is not supported", code)}
 	}
 }
 
 func (c *Conn) authenticateSCRAM() error {
 	client, err := scram.SHA256.NewClient(c.config.User, c.config.Password, "")
 	if err != nil {
-		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: errors.New("SASLprep rejects the proxy's user name or password")}
+		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: errors.New("the proxy's password can't be prepared")}
 	}
 	conversation := client.WithNonceGenerator(nonce).NewConversation()
 	first, err := conversation.Step("")
@@ -433,7 +433,7 @@
 		return err
 	}
 	if _, err := conversation.Step(verifier); err != nil || !conversation.Valid() {
-		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: errors.New("the server's SCRAM signature is invalid: it did not prove that it knows the password")}
+		return &Error{Op: "authenticate", Kind: KindAuthentication, Err: errors.New("the server didn't prove that it knows the password")}
 	}
 	return nil
 }
@@ -481,7 +481,7 @@
 		return "", err
 	}
 	if frame.Type != 'R' || len(body) < 4 || binary.BigEndian.Uint32(body) != want {
-		return "", c.fail("authenticate", fmt.Errorf("unexpected message of type %q during SCRAM authentication", frame.Type))
+		return "", c.fail("authenticate", fmt.Errorf("unexpected message %q", frame.Type))
 	}
 	return string(body[4:]), nil
 }
@@ -549,7 +549,7 @@
 		return err
 	}
 	if len(body) < 8 {
-		return c.fail("read", errors.New("the BackendKeyData message is shorter than 8 bytes"))
+		return c.fail("read", errors.New("short key data"))
 	}
 	c.pid = binary.BigEndian.Uint32(body)
 	c.cancelKey = append([]byte(nil), body[4:]...)
@@ -582,7 +582,7 @@
 	}
 	c.pendingReady--
 	if len(body) != 1 || c.pendingReady < 0 {
-		return c.fail("read", &Error{Op: "read", Kind: KindProtocol, Err: errors.New("ReadyForQuery is malformed or no request is pending")})
+		return c.fail("read", &Error{Op: "read", Kind: KindProtocol, Err: errors.New("unexpected ReadyForQuery")})
 	}
 	c.txStatus = body[0]
 	c.unsynced = false
--- a/backend/control.go
+++ b/backend/control.go
@@ -203,8 +203,8 @@
 	return names, values, nil
 }
 
-// connect opens the connection if there is none or it has failed. The caller holds
-// sem.
+// connect opens the connection if there is none or it has failed. sem must be
+// held.
 func (c *controlConn) connect(ctx context.Context) error {
 	if c.conn != nil && !c.conn.IsClosed() {
 		return nil
--- a/backend/frame.go
+++ b/backend/frame.go
@@ -89,7 +89,7 @@
 	header := r.buf[r.start : r.start+frameHeaderSize]
 	size := int(int32(binary.BigEndian.Uint32(header[1:]))) - 4
 	if size < 0 || size > r.maxBody {
-		return Frame{}, &Error{Op: "read message", Kind: KindProtocol, Err: fmt.Errorf("message of type %q has a body size of %d bytes, which is negative or above the limit of %d bytes", header[0], size, r.maxBody)}
+		return Frame{}, &Error{Op: "read message", Kind: KindProtocol, Err: fmt.Errorf("message of type %q has size %d, limit %d", header[0], size, r.maxBody)}
 	}
 	r.frame = Frame{Size: size, Type: header[0]}
 	r.start += frameHeaderSize
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -43,7 +43,7 @@
 	// Primary means that the server was chosen as the primary of its group. It is
 	// passed on to the lease.
 	Primary bool
-	// Priority orders the waiting requests of the workspace. Zero is the highest.
+	// Priority orders the waiting requests of the workspace; lower values go first.
 	Priority int
 	// Server is the server to connect to.
 	Server fleet.ServerID
@@ -136,7 +136,7 @@
 	s := p.servers[request.Server]
 	if s == nil || s.state.Draining() {
 		p.mu.Unlock()
-		return nil, &Error{Op: "acquire", Kind: KindUnavailable, Err: errors.New("the server is unknown or draining")}
+		return nil, &Error{Op: "acquire", Kind: KindUnavailable, Err: errors.New("the server takes no new work")}
 	}
 	if s.state.TryGrant() {
 		lease := p.lease(s, request.Primary)
@@ -146,7 +146,7 @@
 	counts := s.state.Counts()
 	if counts.usedPermits() == 0 && now.Before(s.state.RetryAt()) {
 		p.mu.Unlock()
-		return nil, &Error{Op: "acquire", Kind: KindUnavailable, Err: errors.New("the last attempt to connect to the server failed, and the backoff has not ended yet")}
+		return nil, &Error{Op: "acquire", Kind: KindUnavailable, Err: errors.New("the server can't be reached")}
 	}
 	s.lastWaiter++
 	id := s.lastWaiter
@@ -326,7 +326,7 @@
 }
 
 // lease leases the most recently used idle connection, so that the others stay
-// idle and can be closed. The caller holds mu and has updated the state.
+// idle and can be closed. mu must be held, and the state already updated.
 func (p *Pool) lease(s *poolServer, primary bool) *PoolLease {
 	last := len(s.idle) - 1
 	conn := s.idle[last]
@@ -356,7 +356,7 @@
 	}
 }
 
-// perform performs the actions that the state has returned. The caller holds mu.
+// perform performs the actions that the state has returned. mu must be held.
 func (p *Pool) perform(s *poolServer, actions []Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -382,7 +382,7 @@
 }
 
 // retryLater makes the state open connections again once the backoff has passed.
-// The caller holds mu.
+// mu must be held.
 func (p *Pool) retryLater(s *poolServer) {
 	if s.retryTimer != nil {
 		s.retryTimer.Stop()
@@ -396,8 +396,8 @@
 	})
 }
 
-// resolve sends the result to a waiter and removes it. The caller holds the pool's
-// mu.
+// resolve sends the result to a waiter and removes it. The pool's mu must be
+// held.
 func (s *poolServer) resolve(id WaiterID, g grant) {
 	w := s.waiters[id]
 	delete(s.waiters, id)
--- a/backend/pool_test.go
+++ b/backend/pool_test.go
@@ -125,19 +125,19 @@
 	if diff := cmp.Diff(want, s.startupParameters); diff != "" {
 		t.Errorf("startup parameters (-want +got):\n%s", diff)
 	}
-	adopt := func(owner uint64, profile string) {
+	prepareFor := func(owner uint64, settings string) {
 		t.Helper()
-		if err := conn.PrepareFor(owner, profile); err != nil {
+		if err := conn.PrepareFor(owner, settings); err != nil {
 			t.Fatal(err)
 		}
 	}
-	adopt(1, "")
-	adopt(1, "SET a TO '1'")
-	adopt(2, "SET a TO '1'")
-	adopt(2, "")
+	prepareFor(1, "")
+	prepareFor(1, "SET a TO '1'")
+	prepareFor(2, "SET a TO '1'")
+	prepareFor(2, "")
 	conn.MarkStateChanged()
-	adopt(2, "")
-	adopt(3, "SET a TO '2'")
+	prepareFor(2, "")
+	prepareFor(3, "SET a TO '2'")
 	if diff := cmp.Diff([]string{"SET a TO '1'", "RESET ALL", "DISCARD ALL", "SET a TO '2'"}, s.queries); diff != "" {
 		t.Errorf("statements (-want +got):\n%s", diff)
 	}
--- a/backend/state.go
+++ b/backend/state.go
@@ -79,8 +79,8 @@
 	c.settings = unknownSettings
 }
 
-// SetUnnamedStatement records the key of the unnamed prepared statement. Empty
-// means unknown.
+// SetUnnamedStatement records the key by which the owner identifies the statement
+// that is now the unnamed prepared statement. Empty means unknown.
 func (c *Conn) SetUnnamedStatement(key string) {
 	c.unnamedStatement = key
 }
--- a/caller/authenticator.go
+++ b/caller/authenticator.go
@@ -47,7 +47,7 @@
 }
 
 // HandleClientFinal processes the SCRAM client-final-message. It returns the
-// server-final-message and the id of the matching key.
+// server-final-message and the ID of the matching key.
 func (a *Authenticator) HandleClientFinal(message string) (answer string, key KeyID, err error) {
 	matched := -1
 	for i, conversation := range a.conversations {
@@ -78,7 +78,7 @@
 	return challenge, nil
 }
 
-// CheckPassword checks a key that was sent in cleartext and returns the id of the
+// CheckPassword checks a key that was sent in cleartext and returns the ID of the
 // matching key.
 func (a *Authenticator) CheckPassword(password string) (KeyID, error) {
 	client, err := scram.SHA256.NewClient("", password, "")
--- a/caller/error.go
+++ b/caller/error.go
@@ -1,5 +1,5 @@
 // Package caller implements the PostgreSQL server protocol for the clients of the
-// proxy, which are called callers. It handles start-up and authentication, relays
+// proxy, which are called callers. It handles startup and authentication, relays
 // statements and transactions to backend servers, forwards cancel requests and
 // reports the outcome of failed requests.
 package caller
@@ -48,7 +48,7 @@
 	KindCapacity Kind = "Queue"
 	// KindRateExceeded means that the workspace exceeded its request rate.
 	KindRateExceeded Kind = "RateExceeded"
-	// KindInvalidParameter means that a session token, start-up parameter or
+	// KindInvalidParameter means that a session token, startup parameter or
 	// setting is invalid.
 	KindInvalidParameter Kind = "Token"
 	// KindUnknownOutcome means that a write may or may not have taken effect.
--- a/caller/opening.go
+++ b/caller/opening.go
@@ -26,7 +26,7 @@
 // short because these connections aren't counted.
 const refusalTimeout = time.Second
 
-// openSession performs start-up and authentication on a connection. If it fails,
+// openSession performs startup and authentication on a connection. If it fails,
 // the error was already sent to the caller.
 func (s *Server) openSession(conn net.Conn) (*session, error) {
 	_ = conn.SetDeadline(s.config.Now().Add(s.config.StartupTimeout))
@@ -59,7 +59,7 @@
 	return session, nil
 }
 
-// authenticate runs the authentication exchange and returns the id of the matching
+// authenticate runs the authentication exchange and returns the ID of the matching
 // key.
 func (s *Server) authenticate(session *session) (KeyID, error) {
 	authenticator, err := NewAuthenticator(s.config.Credentials, session.workspace, s.config.MockSecret)
@@ -126,7 +126,7 @@
 	return s.reader.Body()
 }
 
-// sendStartupComplete sends the messages that end the start-up: AuthenticationOk,
+// sendStartupComplete sends the messages that end the startup: AuthenticationOk,
 // parameters, the cancel key and ReadyForQuery.
 func (s *session) sendStartupComplete() error {
 	w := s.acquireWriter()
@@ -144,7 +144,7 @@
 }
 
 // reportedValue returns the value of a parameter to report to the caller: the value
-// it set at start-up, if any.
+// it set at startup, if any.
 func (s *session) reportedValue(parameter Parameter) string {
 	value := parameter.Value
 	for _, setting := range s.startupSettings {
@@ -283,7 +283,7 @@
 	return session, nil
 }
 
-// startupParameter applies one start-up parameter to the session.
+// startupParameter applies one startup parameter to the session.
 func (s *session) startupParameter(parameter Parameter) error {
 	name := strings.ToLower(parameter.Name)
 	switch {
--- a/caller/request.go
+++ b/caller/request.go
@@ -290,7 +290,7 @@
 	conn := lease.Conn()
 	if err := conn.PrepareFor(s.id, s.settingsSQL); err != nil {
 		s.release(conn.Reusable())
-		return adoptError(err)
+		return setupError(err)
 	}
 	if s.replayableBegin != "" {
 		if err := conn.Exec(s.replayableBegin); err != nil {
@@ -301,7 +301,7 @@
 	if conn.PreparedCount() > maxPreparedPerConn {
 		if err := s.deallocateAll(conn); err != nil {
 			s.release(false)
-			return adoptError(err)
+			return setupError(err)
 		}
 	}
 	return nil
@@ -511,8 +511,8 @@
 	return lostError("no backend server can take the request")
 }
 
-// adoptError translates an error of setting up the session's state on a connection.
-func adoptError(err error) error {
+// setupError translates an error of setting up the session's state on a connection.
+func setupError(err error) error {
 	var backendErr *backend.Error
 	if errors.As(err, &backendErr) && backendErr.Kind == backend.KindServer {
 		return &Error{Op: "acquire", Kind: KindInvalidParameter, Err: errors.New("the session's settings can't be set: " + backendErr.Err.Error())}
--- a/caller/router.go
+++ b/caller/router.go
@@ -39,7 +39,7 @@
 	Group fleet.GroupID
 	// MaxAge is the maximum age of the data that a read returns. Zero means no limit.
 	MaxAge time.Duration
-	// Priority orders the queued requests of the workspace; zero goes first.
+	// Priority orders the queued requests of the workspace; lower values go first.
 	Priority int
 	// Token holds the log positions that a replica must have applied.
 	Token Token
@@ -56,7 +56,7 @@
 	Primary() bool
 	// Release returns the connection. It is not reused if it isn't healthy.
 	Release(healthy bool)
-	// Server returns the id of the backend server.
+	// Server returns the ID of the backend server.
 	Server() fleet.ServerID
 }
 
--- a/caller/server.go
+++ b/caller/server.go
@@ -71,7 +71,7 @@
 	MockSecret []byte
 	// Now returns the current time. Nil means time.Now.
 	Now func() time.Time
-	// Parameters are reported to each caller at start-up. Nil means those that
+	// Parameters are reported to each caller at startup. Nil means those that
 	// drivers expect.
 	Parameters []Parameter
 	// RequestTimeout limits how long a request waits for a connection, from its
@@ -82,7 +82,7 @@
 	// Routes looks up the routes of the current sheet. Nil means that there are
 	// none.
 	Routes Routes
-	// StartupTimeout limits start-up and authentication. Zero means 10 s.
+	// StartupTimeout limits startup and authentication. Zero means 10 s.
 	StartupTimeout time.Duration
 	// TLS returns the current TLS configuration. Nil means that TLS is refused.
 	TLS func() *tls.Config
@@ -129,7 +129,7 @@
 	return s
 }
 
-// Cancel cancels what the session with this process id is running. It reports false
+// Cancel cancels what the session with this process ID is running. It reports false
 // if this instance doesn't serve the session or the secret is wrong.
 func (s *Server) Cancel(ctx context.Context, processID uint32, secret []byte) bool {
 	s.mu.Lock()
@@ -225,7 +225,7 @@
 	s.stopSessions(reason)
 }
 
-// addSession assigns the session its id and its cancel key, and registers it.
+// addSession assigns the session its ID and its cancel key, and registers it.
 func (s *Server) addSession(session *session) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/caller/session_test.go
+++ b/caller/session_test.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestHostileInput guards against start-up input that blocks a connection or gets a
+// TestHostileInput guards against startup input that blocks a connection or gets a
 // wrong SQLSTATE.
 func TestHostileInput(t *testing.T) {
 	message := func(code uint32, rest string) []byte {
@@ -318,7 +318,7 @@
 	}
 }
 
-// TestStartupSettings guards against start-up settings that aren't applied or
+// TestStartupSettings guards against startup settings that aren't applied or
 // aren't reported to the caller, and against the caller's application name reaching
 // the backend server.
 func TestStartupSettings(t *testing.T) {
--- a/caller/setting.go
+++ b/caller/setting.go
@@ -22,7 +22,7 @@
 	name string
 	sql  string
 	// value is the value to report to the caller. It is only known for settings of
-	// the start-up message.
+	// the startup message.
 	value string
 }
 
@@ -98,17 +98,17 @@
 
 // applySettings applies a committed SET, RESET or DISCARD to the settings of the
 // session.
-func (s *session) applySettings(statement settingChange) {
-	switch statement.verb {
+func (s *session) applySettings(change settingChange) {
+	switch change.verb {
 	case VerbSet:
-		s.settings = withSetting(s.settings, setting{name: statement.name, sql: statement.sql})
+		s.settings = withSetting(s.settings, setting{name: change.name, sql: change.sql})
 	case VerbReset, VerbDiscard:
-		s.resetSettings(statement.name)
+		s.resetSettings(change.name)
 	}
 	s.settingsSQL = settingsToSQL(s.settings)
 }
 
-// resetSettings restores one setting, or all, to the value at start-up.
+// resetSettings restores one setting, or all, to the value at startup.
 func (s *session) resetSettings(name string) {
 	if name == "all" {
 		s.settings = s.startupSettings
--- a/caller/startup.go
+++ b/caller/startup.go
@@ -18,21 +18,21 @@
 // protocolMajor is the supported major protocol version.
 const protocolMajor = 3
 
-// maxStartupSize limits the size of a start-up message in bytes, as in PostgreSQL.
+// maxStartupSize limits the size of a startup message in bytes, as in PostgreSQL.
 const maxStartupSize = 10000
 
-// Parameter is a start-up parameter or setting.
+// Parameter is a startup parameter or setting.
 type Parameter struct {
 	Name  string
 	Value string
 }
 
-// Startup is a decoded start-up message: a StartupMessage, CancelRequest,
+// Startup is a decoded startup message: a StartupMessage, CancelRequest,
 // SSLRequest or GSSENCRequest.
 type Startup struct {
 	// Code is the protocol version or the request code.
 	Code uint32
-	// Parameters lists the start-up parameters in the order received.
+	// Parameters lists the startup parameters in the order received.
 	Parameters []Parameter
 	// ProcessID identifies the session to cancel, in a CancelRequest.
 	ProcessID uint32
@@ -40,7 +40,7 @@
 	Secret []byte
 }
 
-// ReadStartup reads and parses one start-up message.
+// ReadStartup reads and parses one startup message.
 func ReadStartup(r io.Reader) (Startup, error) {
 	var header [4]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -57,7 +57,7 @@
 	return ParseStartup(body)
 }
 
-// ParseStartup parses a start-up message without its length.
+// ParseStartup parses a startup message without its length.
 func ParseStartup(body []byte) (Startup, error) {
 	if len(body) < 4 {
 		return Startup{}, startupError("message is too short")
--- a/caller/statement_test.go
+++ b/caller/statement_test.go
@@ -120,7 +120,7 @@
 	})
 }
 
-// FuzzParseStartup guards against start-up messages that crash the server.
+// FuzzParseStartup guards against startup messages that crash the server.
 func FuzzParseStartup(f *testing.F) {
 	for _, seed := range []string{"", "\x00\x03\x00\x00", "\x00\x03\x00\x00user\x00a\x00\x00", "\x04\xd2\x16\x2e12345678", "\x00\x03\x00\x00user"} {
 		f.Add([]byte(seed))
--- a/caller/token.go
+++ b/caller/token.go
@@ -10,7 +10,7 @@
 )
 
 // TokenParameter is the name of the parameter that carries the session token.
-// Callers set it as a start-up parameter or with SET, and the proxy reports it in
+// Callers set it as a startup parameter or with SET, and the proxy reports it in
 // ParameterStatus messages.
 const TokenParameter = "nutmegpier.session"
 
--- a/instance/adminapi.go
+++ b/instance/adminapi.go
@@ -13,7 +13,7 @@
 		distributor: i.peers,
 		now:         i.config.Now,
 		table:       i.config.Platform,
-		usage:       i.usage,
+		deployment:  i.deployment,
 	}
 	return operator.New(operator.Config{
 		Archive:   i.archive,
@@ -26,21 +26,21 @@
 	})
 }
 
-// usage returns what this instance knows of the deployment, for the checks of
+// deployment returns what this instance knows of the deployment, for the checks of
 // unsafe changes to the sheet.
-func (i *Instance) usage() sheet.Deployment {
-	usage := sheet.Deployment{
+func (i *Instance) deployment() sheet.Deployment {
+	deployment := sheet.Deployment{
 		BusyWorkspaces: i.metrics.activeWorkspaces(),
 		DataCentres:    []fleet.DataCentre{i.config.Settings.DataCentre},
 	}
 	for _, configured := range i.config.Settings.Groups {
 		for _, server := range configured.Servers {
-			usage.Servers = append(usage.Servers, sheet.ServerLocation{
+			deployment.Servers = append(deployment.Servers, sheet.ServerLocation{
 				DataCentre: server.DataCentre,
 				Group:      configured.Group,
 				Server:     server.Server,
 			})
 		}
 	}
-	return usage
+	return deployment
 }
--- a/instance/gate.go
+++ b/instance/admission.go
@@ -24,8 +24,9 @@
 	Valid(now time.Time) bool
 }
 
-// gate implements caller.AdmissionController: it decides whether a request is admitted.
-type gate struct {
+// admissionController implements caller.AdmissionController. While the instance
+// serves requests, it enforces the rate limits of the workspaces.
+type admissionController struct {
 	lifecycle       *blackboard.Section[Lifecycle]
 	limiter         limiter
 	metrics         *metrics
@@ -33,22 +34,22 @@
 	dataCentreState *dataCentreState
 }
 
-var _ caller.AdmissionController = &gate{}
+var _ caller.AdmissionController = &admissionController{}
 
 // Admit decides whether one request of a workspace is admitted.
-func (g *gate) Admit(now time.Time, id fleet.WorkspaceID) caller.Decision {
-	if !g.isServing(now) {
-		g.metrics.refusedNotServing.Add(1)
+func (c *admissionController) Admit(now time.Time, id fleet.WorkspaceID) caller.Decision {
+	if !c.isServing(now) {
+		c.metrics.refusedNotServing.Add(1)
 		return caller.Decision{}
 	}
-	decision := g.limiter.Admit(now, id)
-	if !decision.Admitted && !g.limiter.Valid(g.now()) {
+	decision := c.limiter.Admit(now, id)
+	if !decision.Admitted && !c.limiter.Valid(c.now()) {
 		// The validity lease expired during the decision; the workspace did not
 		// exceed its rate.
-		g.metrics.refusedNotServing.Add(1)
+		c.metrics.refusedNotServing.Add(1)
 		return caller.Decision{}
 	}
-	if counts := g.metrics.workspace(id); decision.Admitted {
+	if counts := c.metrics.workspace(id); decision.Admitted {
 		counts.admitted.Add(1)
 	} else {
 		counts.refused.Add(1)
@@ -62,10 +63,10 @@
 
 // isServing reports whether requests are served. Requests of open sessions are
 // still served while the instance drains, so that no transaction is interrupted.
-func (g *gate) isServing(now time.Time) bool {
-	switch g.lifecycle.Load() {
+func (c *admissionController) isServing(now time.Time) bool {
+	switch c.lifecycle.Load() {
 	case LifecycleDraining, LifecycleServing:
-		return g.limiter.Valid(now) && g.dataCentreState.acceptsRequests(now)
+		return c.limiter.Valid(now) && c.dataCentreState.acceptsRequests(now)
 	}
 	return false
 }
--- a/instance/callers.go
+++ b/instance/callers.go
@@ -30,7 +30,7 @@
 		CommitWaiter:        i.router,
 		Credentials:         &credentials{now: i.config.Now, sheet: i.board.Sheet},
 		EventRecorder:       i.recorder,
-		AdmissionController: &gate{lifecycle: i.board.Lifecycle, limiter: i.limiter, metrics: i.metrics, now: i.config.Now, dataCentreState: i.dataCentreState},
+		AdmissionController: &admissionController{lifecycle: i.board.Lifecycle, limiter: i.limiter, metrics: i.metrics, now: i.config.Now, dataCentreState: i.dataCentreState},
 		IdleTimeout:         idleTimeout(configured.Timeouts.Idle),
 		MaxMessage:          configured.Limits.MaxMessageBytes,
 		MaxSessions:         configured.Limits.MaxSessions,
--- a/instance/publisher.go
+++ b/instance/publisher.go
@@ -36,7 +36,7 @@
 	distributor distributor
 	now         func() time.Time
 	table       metastore.Table
-	usage       func() sheet.Deployment
+	deployment  func() sheet.Deployment
 }
 
 var (
@@ -157,7 +157,7 @@
 		Current:         stored.sheet,
 		Head:            stored.head.SheetVersion,
 		HeadPublication: stored.record.Publication,
-		Deployment:      p.usage(),
+		Deployment:      p.deployment(),
 	}
 }
 
--- a/instance/router.go
+++ b/instance/router.go
@@ -25,15 +25,15 @@
 type groupControl interface {
 	// AwaitCommit waits until the outcome of a commit at the position is known.
 	AwaitCommit(ctx context.Context, p fleet.Position) (group.CommitDecision, error)
-	// AwaitFresh waits until at least one server meets the requirement of a read,
-	// and returns the candidates in the order in which to try them. If none
-	// qualifies within the bound, the primary is the only candidate.
-	AwaitFresh(ctx context.Context, need group.ReadRequirement, choice group.ReplicaSelection, bound time.Duration) ([]fleet.ServerID, error)
+	// AwaitFresh waits until a replica may serve the read or the timeout has
+	// passed, and returns the candidates in the order in which to try them. If no
+	// replica qualifies in time, the primary is the only candidate.
+	AwaitFresh(ctx context.Context, requirement group.ReadRequirement, selection group.ReplicaSelection, timeout time.Duration) ([]fleet.ServerID, error)
 	// AwaitPrimary waits until a reachable primary is known.
 	AwaitPrimary(ctx context.Context) (fleet.ServerID, fleet.Term, error)
 	// Barrier returns a position that covers all writes that were acknowledged
-	// before the arrival time.
-	Barrier(ctx context.Context, arrived time.Time) (fleet.Position, error)
+	// before arrivedAt.
+	Barrier(ctx context.Context, arrivedAt time.Time) (fleet.Position, error)
 	// ReportFailure reports that a connection to a server failed.
 	ReportFailure(server fleet.ServerID)
 	// ReportRefusal reports that the server believed to be primary refused a write.
@@ -44,7 +44,8 @@
 type pool interface {
 	// Acquire waits for a connection to a server.
 	Acquire(ctx context.Context, now time.Time, request backend.PoolRequest) (*backend.PoolLease, error)
-	// Counts returns the numbers of connections to a server.
+	// Counts returns the numbers of connections to and waiting requests for a
+	// server.
 	Counts(server fleet.ServerID) backend.Counts
 }
 
--- a/instance/run.go
+++ b/instance/run.go
@@ -44,7 +44,7 @@
 }
 
 // Run serves until the context ends, and then drains for at most
-// Timeouts.StopBound. It returns an error if sessions were terminated because that
+// Timeouts.StopBound. It returns an error if sessions were aborted because that
 // time was over.
 func (i *Instance) Run(ctx context.Context) error {
 	i.config.Events.Record(event.InstanceStarted, event.Fields{Text: string(i.config.Settings.Instance)})
--- a/instance/shares.go
+++ b/instance/shares.go
@@ -19,29 +19,29 @@
 
 // Admit decides whether one request is admitted. Before refusing it, Admit
 // requests shares from the peers once.
-func (s *peerLimiter) Admit(now time.Time, id fleet.WorkspaceID) workspace.Decision {
-	if decision := s.peers.Admit(now, id); decision.Admitted {
+func (l *peerLimiter) Admit(now time.Time, id fleet.WorkspaceID) workspace.Decision {
+	if decision := l.peers.Admit(now, id); decision.Admitted {
 		return decision
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), shareRequestTimeout)
 	defer cancel()
-	return s.peers.AdmitOrRequestShares(ctx, id)
+	return l.peers.AdmitOrRequestShares(ctx, id)
 }
 
 // Permits returns the number of connections that may be open to a backend server.
-func (s *peerLimiter) Permits(server fleet.ServerID) int {
-	return s.peers.Permits(server)
+func (l *peerLimiter) Permits(server fleet.ServerID) int {
+	return l.peers.Permits(server)
 }
 
 // Share returns the share of a workspace's rate limit that this instance holds
 // now.
-func (s *peerLimiter) Share(id fleet.WorkspaceID) workspace.Share {
-	return s.peers.Share(id)
+func (l *peerLimiter) Share(id fleet.WorkspaceID) workspace.Share {
+	return l.peers.Share(id)
 }
 
 // Valid reports whether the validity lease of the instance holds at this time.
-func (s *peerLimiter) Valid(now time.Time) bool {
-	return s.peers.Valid(now)
+func (l *peerLimiter) Valid(now time.Time) bool {
+	return l.peers.Valid(now)
 }
 
 // shareRequestTimeout bounds how long a request waits for shares from peers.
