--- a/instance/recorder.go
+++ b/instance/recorder.go
@@ -118,7 +118,7 @@
 		return event.MemberSuspected, true
 	case peer.EventRosterInForce:
 		return event.RosterInForce, true
-	case peer.EventSharesMoved:
+	case peer.EventSharesTransferred:
 		return event.SharesTransferred, true
 	case peer.EventStoreAvailable:
 		return event.StoreAvailable, true
--- a/peer/event.go
+++ b/peer/event.go
@@ -15,8 +15,8 @@
 	EventMemberSilent EventKind = "MemberSilent"
 	// EventRosterInForce means that this instance adopted a newer roster.
 	EventRosterInForce EventKind = "RosterInForce"
-	// EventSharesMoved means that this instance received shares from a peer.
-	EventSharesMoved EventKind = "SharesMoved"
+	// EventSharesTransferred means that this instance received shares from a peer.
+	EventSharesTransferred EventKind = "SharesMoved"
 	// EventStoreAvailable is the end of an outage of the store.
 	EventStoreAvailable EventKind = "StoreAvailable"
 	// EventStoreUnavailable is the start of an outage of the store.
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -88,7 +88,7 @@
 	accepted := c.ledger.AcceptTransfer(c.config.Clock.Now(), transfer)
 	c.mu.Unlock()
 	if accepted {
-		c.emitEvent(EventSharesMoved, "received from "+formatMember(donor))
+		c.emitEvent(EventSharesTransferred, "received from "+formatMember(donor))
 		c.sendConfirmation(requestCtx, client, transfer)
 	}
 	return nil
