--- a/cmd/draincmd.go
+++ b/cmd/draincmd.go
@@ -16,7 +16,7 @@
 		Example: "  nutmegpier drain data-centre gt-2 --token-file token",
 		Long:    "Takes a data centre out of service. Instances there drain, backend servers there get no new\nrequests, and primaries there hand over to other servers. The command edits and publishes the\nsheet in force.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return runPlacementChange(cmd, options, func(ctx context.Context, client *operator.Client) (operator.Publication, error) {
+			return runServiceStateChange(cmd, options, func(ctx context.Context, client *operator.Client) (operator.Publication, error) {
 				return client.DrainDataCentre(ctx, fleet.DataCentre(args[0]), force)
 			})
 		},
@@ -28,7 +28,7 @@
 		Example: "  nutmegpier drain server orders-3 --token-file token",
 		Long:    "Takes a backend server out of service. It gets no new requests, and hands over to another\nserver if it is primary. The command edits and publishes the sheet in force.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return runPlacementChange(cmd, options, func(ctx context.Context, client *operator.Client) (operator.Publication, error) {
+			return runServiceStateChange(cmd, options, func(ctx context.Context, client *operator.Client) (operator.Publication, error) {
 				return client.DrainServer(ctx, fleet.ServerID(args[0]), force)
 			})
 		},
--- a/cmd/gatewayd/root.go
+++ b/cmd/gatewayd/root.go
@@ -7,13 +7,13 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes of the command.
+// Exit statuses of the command.
 const (
 	exitOK    = 0
 	exitError = 1
 )
 
-// run executes the command line and returns the exit code.
+// run executes the command line and returns the exit status.
 func run(args []string, out, errOut io.Writer) int {
 	root := &cobra.Command{
 		Long:          "gatewayd runs one instance of nutmegpier on the users' platform.",
--- a/cmd/process_test.go
+++ b/cmd/process_test.go
@@ -165,8 +165,7 @@
 }
 
 // awaitServing waits until an instance has a validity lease and holds a share of each
-// rate limit:
-// awaitserved URLFILE TOKENFILE.
+// rate limit: awaitserved URLFILE TOKENFILE.
 func awaitServing(ts *testscript.TestScript, _ bool, args []string) {
 	client := adminClient(ts, args[0], args[1])
 	awaitCondition(ts, "instance of "+args[0], func(ctx context.Context) bool {
--- a/cmd/restorecmd.go
+++ b/cmd/restorecmd.go
@@ -14,7 +14,7 @@
 		Args:    exactArgs("NAME"),
 		Example: "  nutmegpier restore data-centre gt-2 --token-file token",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return runPlacementChange(cmd, options, func(ctx context.Context, client *operator.Client) (operator.Publication, error) {
+			return runServiceStateChange(cmd, options, func(ctx context.Context, client *operator.Client) (operator.Publication, error) {
 				return client.RestoreDataCentre(ctx, fleet.DataCentre(args[0]))
 			})
 		},
@@ -25,7 +25,7 @@
 		Args:    exactArgs("NAME"),
 		Example: "  nutmegpier restore server orders-3 --token-file token",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return runPlacementChange(cmd, options, func(ctx context.Context, client *operator.Client) (operator.Publication, error) {
+			return runServiceStateChange(cmd, options, func(ctx context.Context, client *operator.Client) (operator.Publication, error) {
 				return client.RestoreServer(ctx, fleet.ServerID(args[0]))
 			})
 		},
@@ -35,9 +35,9 @@
 	return newGroupCmd("restore", "Bring a data centre or backend server back into service", dataCentre, server)
 }
 
-// runPlacementChange calls a drain or restore method of the administration API and
+// runServiceStateChange calls a drain or restore method of the administration API and
 // prints its outcome.
-func runPlacementChange(cmd *cobra.Command, options *globalOptions, call func(context.Context, *operator.Client) (operator.Publication, error)) error {
+func runServiceStateChange(cmd *cobra.Command, options *globalOptions, call func(context.Context, *operator.Client) (operator.Publication, error)) error {
 	client, err := options.client(cmd)
 	if err != nil {
 		return err
--- a/cmd/script_test.go
+++ b/cmd/script_test.go
@@ -123,12 +123,12 @@
 func setup(env *testscript.Env) error {
 	sum := sha256.Sum256([]byte(token))
 	tokens := []settings.Token{{Role: settings.RolePublish, TokenSHA256: hex.EncodeToString(sum[:])}}
-	store := &memoryPublisher{sheets: make([]operator.SheetVersion, 1)}
+	publisher := &memoryPublisher{sheets: make([]operator.SheetVersion, 1)}
 	for _, name := range []string{"1", "2"} {
 		recorder := event.New(fleet.InstanceID("pier-"+name), 1, func() time.Time { return scriptTime }, event.NewLogger(io.Discard, "json", event.LevelInfo), 100)
 		recorder.Record(event.InstanceServing, event.Fields{})
 		server := httptest.NewServer(operator.New(operator.Config{
-			Publisher: store, Recorder: recorder, Sheets: store, Status: store, Timeline: recorder,
+			Publisher: publisher, Recorder: recorder, Sheets: publisher, Status: publisher, Timeline: recorder,
 			Tokens: func() []settings.Token { return tokens },
 		}).Handler())
 		env.Defer(server.Close)
--- a/document/decoder.go
+++ b/document/decoder.go
@@ -25,15 +25,15 @@
 	rulePath string
 }
 
-func (p location) element(index int) location {
-	return location{path: p.path + "[" + strconv.Itoa(index) + "]", rulePath: p.rulePath + "[]"}
+func (l location) element(index int) location {
+	return location{path: l.path + "[" + strconv.Itoa(index) + "]", rulePath: l.rulePath + "[]"}
 }
 
-func (p location) field(name string) location {
-	if p.path == "" {
+func (l location) field(name string) location {
+	if l.path == "" {
 		return location{path: name, rulePath: name}
 	}
-	return location{path: p.path + "." + name, rulePath: p.rulePath + "." + name}
+	return location{path: l.path + "." + name, rulePath: l.rulePath + "." + name}
 }
 
 // decodeRoot decodes the document into target, which is a pointer to a struct.
--- a/event/event.go
+++ b/event/event.go
@@ -8,7 +8,7 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Fields holds the optional fields of an event. None of them is for callers' keys.
+// Fields holds the optional fields of an event. Record redacts callers' keys in them.
 type Fields struct {
 	Database  fleet.GroupID     `json:",omitempty"`
 	Position  fleet.Position    `json:",omitzero"`
--- a/metastore/client_test.go
+++ b/metastore/client_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestLostAnswer guards against a simulated platform that loses a write together with
+// TestLostAnswer guards against a stand-in platform that loses a write together with
 // the response. Clients must find the write when they read the row back.
 func TestLostAnswer(t *testing.T) {
 	service, c, ctx := newClient(t)
@@ -115,7 +115,7 @@
 	}
 }
 
-// TestInstanceListLags guards against a simulated platform whose list of instances
+// TestInstanceListLags guards against a stand-in platform whose list of instances
 // shows changes although it is frozen.
 func TestInstanceListLags(t *testing.T) {
 	service, c, ctx := newClient(t)
--- a/operator/client.go
+++ b/operator/client.go
@@ -85,12 +85,12 @@
 	return publicationOf(response), err
 }
 
-// RestoreDataCentre puts a data centre back into service.
+// RestoreDataCentre brings a data centre back into service.
 func (c *Client) RestoreDataCentre(ctx context.Context, dataCentre fleet.DataCentre) (Publication, error) {
 	return c.restore(ctx, &nutmegpierv1.RestoreRequest{DataCentre: string(dataCentre)})
 }
 
-// RestoreServer puts a backend server back into service.
+// RestoreServer brings a backend server back into service.
 func (c *Client) RestoreServer(ctx context.Context, server fleet.ServerID) (Publication, error) {
 	return c.restore(ctx, &nutmegpierv1.RestoreRequest{Server: string(server)})
 }
--- a/operator/drain.go
+++ b/operator/drain.go
@@ -16,7 +16,7 @@
 // emptySheet is the sheet that is edited if none has been published yet.
 const emptySheet = `{"Format": 1}`
 
-// latestVersion requests the newest sheet that the instance knows.
+// latestVersion requests the newest sheet.
 const latestVersion fleet.SheetVersion = 0
 
 // drainTarget is the data centre or the backend server that is drained or restored.
@@ -26,43 +26,42 @@
 	server     fleet.ServerID
 }
 
-func (p drainTarget) validate() error {
-	if (p.dataCentre == "") == (p.server == "") {
+func (t drainTarget) validate() error {
+	if (t.dataCentre == "") == (t.server == "") {
 		return connect.NewError(connect.CodeInvalidArgument, errors.New("exactly one of data centre and server must be set"))
 	}
 	return nil
 }
 
-// edit returns the sheet with the target put into or taken out of service.
-func (p drainTarget) edit(content string, inService bool) (string, error) {
+// edit returns the sheet with the target brought back into or taken out of service.
+func (t drainTarget) edit(content string, inService bool) (string, error) {
 	state := sheet.StateInService
-	if p.dataCentre != "" {
+	if t.dataCentre != "" {
 		if !inService {
 			state = sheet.StateOut
 		}
-		return sheet.SetDataCentre(content, p.dataCentre, state)
+		return sheet.SetDataCentre(content, t.dataCentre, state)
 	}
 	if !inService {
 		state = sheet.StateLeaving
 	}
-	return sheet.SetServer(content, p.server, state)
+	return sheet.SetServer(content, t.server, state)
 }
 
 // eventFields returns the fields of the event that records the request.
-func (p drainTarget) eventFields(ctx context.Context) event.Fields {
+func (t drainTarget) eventFields(ctx context.Context) event.Fields {
 	text := "requested by " + publisherName(ctx)
-	if p.dataCentre != "" {
-		text = "data centre " + string(p.dataCentre) + " " + text
+	if t.dataCentre != "" {
+		text = "data centre " + string(t.dataCentre) + " " + text
 	}
-	return event.Fields{Server: p.server, Text: text}
+	return event.Fields{Server: t.server, Text: text}
 }
 
-// setInService puts the target into or takes it out of service. It edits the newest
-// sheet and publishes it with the version that it read as the base. A conflict means
-// that another operator published in between. The edit is then repeated on the version
-// that the conflict names, which this instance may not use yet. The sheet is published
-// even if the edit changes nothing, because only a successful publication proves that
-// the sheet was the newest.
+// setInService brings the target back into service or takes it out of service: it
+// edits and publishes the newest sheet. If another operator published in between, it
+// edits the version that the conflict names, even if s.sheets still returns an older
+// one as the newest. It publishes even an edit that changes nothing, because only a
+// successful publication proves that the sheet was the newest.
 func (s *Server) setInService(ctx context.Context, target drainTarget, inService, force bool) (*nutmegpierv1.PublishSheetResponse, error) {
 	if err := target.validate(); err != nil {
 		return nil, err
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -30,8 +30,8 @@
 	beforePublish func()
 	err           error
 	history       []operator.SheetSummary
-	// lag is the number of versions by which the newest version that the instance
-	// returns lags behind the head.
+	// lag is the number of versions by which the version returned as the newest lags
+	// behind the head.
 	lag     int
 	mu      sync.Mutex
 	outcome sheet.Outcome
@@ -97,16 +97,16 @@
 	Workspaces: []operator.WorkspaceStatus{{Admitted: 70, Rate: 200, Refused: 2, Share: 25, Workspace: "die-room"}},
 }
 
-// deployment is an HTTP server for the administration API with a token for each role.
-type deployment struct {
+// testServer is an HTTP server for the administration API with a token for each role.
+type testServer struct {
 	recorder *event.Recorder
 	store    *store
 	url      string
 }
 
-func deploy(t *testing.T) *deployment {
+func newTestServer(t *testing.T) *testServer {
 	t.Helper()
-	d := &deployment{
+	d := &testServer{
 		recorder: event.New("pier-1", 1, func() time.Time { return start }, event.NewLogger(io.Discard, "json", event.LevelInfo), 100),
 		store:    &store{outcome: sheet.OutcomeAccepted, sheets: make([]operator.SheetVersion, 1)},
 	}
@@ -124,7 +124,7 @@
 	return d
 }
 
-func (d *deployment) client(role settings.Role) *operator.Client {
+func (d *testServer) client(role settings.Role) *operator.Client {
 	return operator.NewClient(http.DefaultClient, d.url, "token-"+string(role))
 }
 
@@ -143,7 +143,7 @@
 // TestDrainKeepsRacingPublication guards against a drain that overwrites a sheet that
 // another operator published after the drain had read the previous one.
 func TestDrainKeepsRacingPublication(t *testing.T) {
-	d := deploy(t)
+	d := newTestServer(t)
 	races := 2
 	d.store.beforePublish = func() {
 		if races--; races < 0 {
@@ -187,9 +187,9 @@
 }
 
 // TestDrainOnLaggingInstance guards against a drain that conflicts in each attempt
-// because the instance does not use the newest sheet yet.
+// because the version that is read as the newest is outdated.
 func TestDrainOnLaggingInstance(t *testing.T) {
-	d := deploy(t)
+	d := newTestServer(t)
 	for base := range fleet.SheetVersion(3) {
 		if _, err := d.client(settings.RolePublish).Publish(t.Context(), sheet.PublishRequest{Base: base, Content: `{"Format": 1}`}); err != nil {
 			t.Fatal(err)
@@ -207,7 +207,7 @@
 // a call without effect, against a call without effect that is reported as unknown,
 // and against keys in errors.
 func TestErrorsSayWhetherItTookEffect(t *testing.T) {
-	d := deploy(t)
+	d := newTestServer(t)
 	request := sheet.PublishRequest{Content: `{"Format": 1}`}
 	publish := func(url string) operator.Kind {
 		_, err := operator.NewClient(http.DefaultClient, url, "token-Publish").Publish(t.Context(), request)
@@ -231,7 +231,7 @@
 
 // TestPlainHTTP guards against an API that cannot be called with plain HTTP and JSON.
 func TestPlainHTTP(t *testing.T) {
-	d := deploy(t)
+	d := newTestServer(t)
 	post := func(procedure, token, body string) (int, map[string]any) {
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, d.url+"/nutmegpier.v1.AdminService/"+procedure, strings.NewReader(body))
 		if err != nil {
@@ -262,7 +262,7 @@
 
 // TestReads guards against fields that are lost in the conversion of responses.
 func TestReads(t *testing.T) {
-	d := deploy(t)
+	d := newTestServer(t)
 	if _, err := d.client(settings.RolePublish).Publish(t.Context(), sheet.PublishRequest{Comment: "morning", Content: `{"Format": 1}`}); err != nil {
 		t.Fatal(err)
 	}
@@ -321,7 +321,7 @@
 // TestRoles guards against a token that permits more or less than its role, and
 // against calls that succeed with an unknown token.
 func TestRoles(t *testing.T) {
-	d := deploy(t)
+	d := newTestServer(t)
 	for role, want := range map[settings.Role][]operator.Kind{
 		"Other":              {operator.KindUnauthenticated, operator.KindUnauthenticated, operator.KindUnauthenticated},
 		settings.RoleRead:    {"", operator.KindDenied, operator.KindDenied},
--- a/operator/server.go
+++ b/operator/server.go
@@ -82,14 +82,13 @@
 // ErrNoSheet is the error of Sheets.Sheet for a version that does not exist.
 var ErrNoSheet = errors.New("the sheet version does not exist")
 
-// Sheets reads published sheets.
+// Sheets reads published sheets from the platform's table.
 type Sheets interface {
 	// List returns the newest sheets, newest first.
 	List(ctx context.Context, limit int) ([]SheetSummary, error)
 	// Sheet returns a sheet version. Zero means the newest version, which is zero
 	// with empty content before the first publication. If the version does not
-	// exist, the error is ErrNoSheet. A version that the instance does not hold is
-	// read from the platform's table.
+	// exist, the error is ErrNoSheet.
 	Sheet(ctx context.Context, version fleet.SheetVersion) (SheetVersion, error)
 }
 
@@ -217,7 +216,7 @@
 	return connect.NewResponse(publication), nil
 }
 
-// Restore puts a data centre or a backend server back into service.
+// Restore brings a data centre or a backend server back into service.
 func (s *Server) Restore(ctx context.Context, request *connect.Request[nutmegpierv1.RestoreRequest]) (*connect.Response[nutmegpierv1.RestoreResponse], error) {
 	target := drainTarget{dataCentre: fleet.DataCentre(request.Msg.GetDataCentre()), server: fleet.ServerID(request.Msg.GetServer())}
 	publication, err := s.setInService(ctx, target, true, false)
--- a/operator/status.go
+++ b/operator/status.go
@@ -48,7 +48,8 @@
 
 // InstanceStatus is another instance, as seen by this one.
 type InstanceStatus struct {
-	Address          string
+	Address string
+	// DataCentre is always empty, because instances do not set it.
 	DataCentre       fleet.DataCentre
 	Epoch            fleet.Epoch
 	Instance         fleet.InstanceID
@@ -57,7 +58,7 @@
 	// SilenceMs is the time since the last message from the instance, in
 	// milliseconds.
 	SilenceMs int64
-	// State is "Live", "Leaving" or "Suspected".
+	// State is "Live", "Leaving", "Silent" or "Dead".
 	State string
 }
 
@@ -91,7 +92,9 @@
 	// applied yet.
 	Lag uint64
 	// Log is the position of the end of the server's log.
-	Log    fleet.Position
+	Log fleet.Position
+	// Role is "Primary", "Replica" or "Fenced". It is empty if the server never
+	// responded.
 	Role   string
 	Server fleet.ServerID
 	// SilenceMs is the time since the last response of the server, in milliseconds.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -150,9 +150,11 @@
 
 // Timeouts holds the time limits of an instance.
 type Timeouts struct {
-	CommitBound       time.Duration
-	FreshWait         time.Duration
-	Idle              time.Duration
+	CommitBound time.Duration
+	FreshWait   time.Duration
+	Idle        time.Duration
+	// IdleInTransaction has no effect yet: instances do not set TransactionTimeout
+	// of caller.Config.
 	IdleInTransaction time.Duration
 	Startup           time.Duration
 	StopBound         time.Duration
--- a/sheet/diff.go
+++ b/sheet/diff.go
@@ -34,7 +34,9 @@
 }
 
 // Diff returns the differences between two sheets, ordered by path. It ignores
-// the order of the entries.
+// the order of the entries. It does not compare Sheet.TransactionIdle,
+// Database.ColdRate, Database.SyncReplicas, Key.Digest, and of a route all fields
+// but OpenToAll.
 func Diff(before, after Sheet) []Change {
 	oldValues, newValues := flatten(before), flatten(after)
 	var changes []Change
--- a/sheet/sheet_test.go
+++ b/sheet/sheet_test.go
@@ -45,8 +45,8 @@
 	content := example(t)
 	current := parse(t, content)
 	zeroRate := strings.Replace(content, `"Rate": 200`, `"Rate": 0`, 1)
-	usage := sheet.Deployment{BusyWorkspaces: []fleet.WorkspaceID{"die-room"}}
-	state := sheet.PublishState{AfterBase: sheet.VersionRow{Found: true, Publication: "p6"}, Current: current, Head: 7, HeadPublication: "p7", Deployment: usage}
+	deployment := sheet.Deployment{BusyWorkspaces: []fleet.WorkspaceID{"die-room"}}
+	state := sheet.PublishState{AfterBase: sheet.VersionRow{Found: true, Publication: "p6"}, Current: current, Head: 7, HeadPublication: "p7", Deployment: deployment}
 	for _, tc := range []struct {
 		name    string
 		request sheet.PublishRequest
@@ -323,7 +323,7 @@
 // and against existing risks that block the correction of a sheet.
 func TestNewRisks(t *testing.T) {
 	content := example(t)
-	usage := sheet.Deployment{DataCentres: []fleet.DataCentre{"gt-1"}, Servers: []sheet.ServerLocation{
+	deployment := sheet.Deployment{DataCentres: []fleet.DataCentre{"gt-1"}, Servers: []sheet.ServerLocation{
 		{DataCentre: "gt-2", Group: "orders", Server: "orders-1"},
 		{DataCentre: "gt-1", Group: "orders", Server: "orders-2"},
 		{DataCentre: "gt-2", Group: "stock", Server: "stock-1"},
@@ -339,7 +339,7 @@
 		{Kind: sheet.RiskWorkspaceRemoved, Subject: "die-room"},
 		{Kind: sheet.RiskKeysWithdrawn, Subject: "school-supply"},
 	}
-	if diff := gocmp.Diff(want, sheet.NewRisks(parse(t, content), parse(t, worse), usage)); diff != "" {
+	if diff := gocmp.Diff(want, sheet.NewRisks(parse(t, content), parse(t, worse), deployment)); diff != "" {
 		t.Errorf("risks (-want +got):\n%s", diff)
 	}
 }
