--- a/demo/demo.go
+++ b/demo/demo.go
@@ -240,7 +240,7 @@
 		perServer := (deployment.Connections + serversPerGroup - 1) / serversPerGroup
 		servers, err := standin.NewGroup(standin.Options{
 			ApplyLag:        applyLag,
-			ConnectionCost:  connectionCost,
+			ConnectDelay:    connectionCost,
 			ConnectionLimit: perServer,
 			ID:              database.Group,
 			ReceiveDelay:    receiveDelay,
--- a/demo/fault.go
+++ b/demo/fault.go
@@ -45,7 +45,7 @@
 	case "kill-instance":
 		return d.Kill(fleet.InstanceID(argument))
 	case "pause-primary":
-		return d.withPrimary(argument, func(_ *standin.Group, primary *standin.Server) { primary.Pause(true) })
+		return d.withPrimary(argument, func(_ *standin.Group, primary *standin.Server) { primary.SetPaused(true) })
 	case "start-store":
 		d.platform.SetOutage(standin.OutageNone)
 	case "stop-instance":
@@ -98,9 +98,9 @@
 		return &Error{Op: "fault", Kind: KindCommand, Err: fmt.Errorf("unknown database %q", database)}
 	}
 	for _, server := range group.Servers() {
-		group.CutServer(server.ID(), false)
-		server.CutClients()
-		server.Pause(false)
+		group.PartitionServer(server.ID(), false)
+		server.BlockClients()
+		server.SetPaused(false)
 		server.Restart(true)
 	}
 	return nil
--- a/faultmatrix/consistency_test.go
+++ b/faultmatrix/consistency_test.go
@@ -124,14 +124,14 @@
 		var heal func()
 		switch fault := []faultmatrix.Fault{faultmatrix.FaultPrimaryCutOff, faultmatrix.FaultPrimaryCrash, "Pause"}[faults%3]; fault {
 		case faultmatrix.FaultPrimaryCutOff:
-			f.group.CutServer(old.ID(), true)
-			heal = func() { f.group.CutServer(old.ID(), false) }
+			f.group.PartitionServer(old.ID(), true)
+			heal = func() { f.group.PartitionServer(old.ID(), false) }
 		case faultmatrix.FaultPrimaryCrash:
 			old.Crash()
 			heal = func() { old.Restart(true) }
 		default:
-			old.Pause(true)
-			heal = func() { old.Pause(false) }
+			old.SetPaused(true)
+			heal = func() { old.SetPaused(false) }
 		}
 		f.await("promotion", func() bool {
 			primary := f.group.Primary()
--- a/faultmatrix/failover_test.go
+++ b/faultmatrix/failover_test.go
@@ -65,7 +65,7 @@
 // or heals the cut.
 func (f *fixture) partition(near *member, cut bool) {
 	servers := f.group.Servers()
-	f.group.CutServer(servers[0].ID(), cut)
+	f.group.PartitionServer(servers[0].ID(), cut)
 	for _, server := range servers[1:] {
 		f.network.setCut(near.id, server.Addr(), cut)
 	}
@@ -87,7 +87,7 @@
 	f := newFixture(t, 2, unlimited(), detectNever)
 	for _, hint := range []string{"", "/* nutmegpier: idempotent */ "} {
 		conn := f.mustConnect(f.members[0])
-		f.group.Primary().LoseCommitAnswers(1)
+		f.group.Primary().DropCommitResponses(1)
 		op := "lost" + hint
 		_, err := conn.Exec(f.ctx, hint+"INSERT INTO journal (op, register, version) SELECT $1, 0, 0 WHERE NOT EXISTS (SELECT 1 FROM journal WHERE op = $1)", op)
 		if got := outcome(err); got != outcomeCommitted && got != outcomeUnknown {
@@ -107,7 +107,7 @@
 	must(t, err)
 	_, err = tx.Exec(f.ctx, insertOp, "tx")
 	must(t, err)
-	f.group.Primary().LoseCommitAnswers(1)
+	f.group.Primary().DropCommitResponses(1)
 	if got := outcome(tx.Commit(f.ctx)); got != outcomeCommitted && got != outcomeUnknown {
 		t.Errorf("outcome = %s, want Committed or Unknown", got)
 	}
--- a/faultmatrix/operation_test.go
+++ b/faultmatrix/operation_test.go
@@ -82,7 +82,7 @@
 func TestPublishAnswerLost(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 3, unlimited(), detectNever)
-	f.platform.LoseAnswers(1)
+	f.platform.DropResponses(1)
 	f.publish(1, 1, f.content(f.sheet()), sheet.OutcomeAccepted)
 	summaries, err := f.client(0).Sheets(f.ctx, 10)
 	must(t, err)
@@ -102,7 +102,7 @@
 	f := newFixture(t, 3, unlimited(), detectNever)
 	for round := range fleet.SheetVersion(3) {
 		if round%2 == 1 {
-			f.platform.LoseAnswers(1)
+			f.platform.DropResponses(1)
 		}
 		var racing sync.WaitGroup
 		outcomes := make([]sheet.Outcome, 2)
@@ -365,7 +365,7 @@
 	must(t, err)
 	_, err = conn.Exec(f.ctx, insertOp, "with-key")
 	must(t, err)
-	f.group.Primary().LoseCommitAnswers(1)
+	f.group.Primary().DropCommitResponses(1)
 	_, _ = conn.Exec(f.ctx, insertOp, "lost")
 	must(t, conn.PgConn().CancelRequest(f.ctx))
 	_ = conn.Close(f.ctx)
--- a/faultmatrix/steps_test.go
+++ b/faultmatrix/steps_test.go
@@ -66,8 +66,8 @@
 		},
 		{
 			fault:  faultmatrix.FaultPrimaryCutOff,
-			heal:   func(f *fixture) { f.group.CutServer(primary(f).ID(), false) },
-			inject: func(f *fixture) { f.group.CutServer(primary(f).ID(), true) },
+			heal:   func(f *fixture) { f.group.PartitionServer(primary(f).ID(), false) },
+			inject: func(f *fixture) { f.group.PartitionServer(primary(f).ID(), true) },
 		},
 		{
 			fault:  faultmatrix.FaultReplicaLags,
@@ -78,7 +78,7 @@
 		{
 			fault: faultmatrix.FaultStoreAnswerLost,
 			inject: func(f *fixture) {
-				f.platform.LoseAnswers(1)
+				f.platform.DropResponses(1)
 				f.publish(0, 1, f.content(f.sheet()), sheet.OutcomeAccepted)
 			},
 			serves: true,
@@ -302,7 +302,7 @@
 			}
 			single := f.mustConnect(m)
 			before := primary.Status().Log.Log
-			f.group.CutServer(primary.ID(), true)
+			f.group.PartitionServer(primary.ID(), true)
 			attempts := []attempt{begin(faultmatrix.StepCommit, "commit", 2, func() error { return tx.Commit(f.ctx) })}
 			f.await("effect of the commit", func() bool { return primary.Status().Log.Log > before })
 			attempts = append(attempts, begin(faultmatrix.StepBeforeAnswer, "before-answer", 1, f.insert(single, "before-answer")))
@@ -311,7 +311,7 @@
 			if injected.heal != nil {
 				injected.heal(f)
 			}
-			f.group.CutServer(primary.ID(), false)
+			f.group.PartitionServer(primary.ID(), false)
 			f.await("a write after the fault", func() bool {
 				conn, err := f.connect(f.members[1], "")
 				if err != nil {
--- a/group/live_test.go
+++ b/group/live_test.go
@@ -183,7 +183,7 @@
 		d.placement.Store(&group.Placement{Leaving: []fleet.ServerID{primary}})
 	}},
 	{"Crash", func(d *liveDeployment, primary fleet.ServerID) { d.servers.Server(primary).Crash() }},
-	{"CutOff", func(d *liveDeployment, primary fleet.ServerID) { d.servers.CutServer(primary, true) }},
+	{"CutOff", func(d *liveDeployment, primary fleet.ServerID) { d.servers.PartitionServer(primary, true) }},
 }
 
 // replaceLive injects a fault while a writer writes continuously, waits for
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -270,7 +270,7 @@
 	if _, err := conn.Exec(ctx, "INSERT INTO die_runs (press, sheets) VALUES ('press-1', 1)"); err != nil {
 		t.Fatal(err)
 	}
-	f.group.Primary().Pause(true)
+	f.group.Primary().SetPaused(true)
 	_, err := conn.Exec(ctx, "INSERT INTO die_runs (press, sheets) VALUES ('press-1', 2)")
 	var pgErr *pgconn.PgError
 	if !errors.As(err, &pgErr) {
--- a/metastore/client_test.go
+++ b/metastore/client_test.go
@@ -70,7 +70,7 @@
 // the response. Clients must find the write when they read the row back.
 func TestLostAnswer(t *testing.T) {
 	service, c, ctx := newClient(t)
-	service.LoseAnswers(1)
+	service.DropResponses(1)
 	_, _, err := c.Write(ctx, nil, []metastore.Row{{Key: "head", Value: []byte("1")}})
 	var platformErr *metastore.Error
 	if !errors.As(err, &platformErr) || platformErr.Kind != metastore.KindUnavailable {
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -42,17 +42,17 @@
 
 // Pause stops the server or lets it go on. A paused server accepts TCP
 // connections, answers nothing and replicates nothing.
-func (s *Server) Pause(paused bool) {
+func (s *Server) SetPaused(paused bool) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	s.paused = paused
 	s.broadcast()
 }
 
-// CutClients cuts the server off from the clients whose application name
+// BlockClients cuts the server off from the clients whose application name
 // starts with one of the prefixes. Their requests wait until the cut is
 // healed, by a call without a prefix.
-func (s *Server) CutClients(prefixes ...string) {
+func (s *Server) BlockClients(prefixes ...string) {
 	s.sessionsMu.Lock()
 	s.cutClients = func(name string) bool {
 		for _, p := range prefixes {
@@ -68,9 +68,9 @@
 	s.group.mu.Unlock()
 }
 
-// LoseCommitAnswers closes the connection instead of answering, after the
+// DropCommitResponses closes the connection instead of answering, after the
 // next n commits took effect.
-func (s *Server) LoseCommitAnswers(n int) {
+func (s *Server) DropCommitResponses(n int) {
 	s.sessionsMu.Lock()
 	defer s.sessionsMu.Unlock()
 	s.loseCommits = n
@@ -136,8 +136,8 @@
 // IsolateServer cuts a server off from the other servers and from the clients
 // with one of the prefixes.
 func (g *Group) IsolateServer(id fleet.ServerID, prefixes ...string) {
-	g.CutServer(id, true)
+	g.PartitionServer(id, true)
 	if s := g.Server(id); s != nil {
-		s.CutClients(prefixes...)
+		s.BlockClients(prefixes...)
 	}
 }
--- a/standin/group.go
+++ b/standin/group.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// CutServer cuts a server off from the other servers of the group, or heals
+// PartitionServer cuts a server off from the other servers of the group, or heals
 // the cut. Clients still reach it: a primary that is cut off takes writes.
-func (g *Group) CutServer(id fleet.ServerID, cut bool) {
+func (g *Group) PartitionServer(id fleet.ServerID, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.servers {
--- a/standin/group_test.go
+++ b/standin/group_test.go
@@ -90,7 +90,7 @@
 	g := newGroup(t, standin.Options{})
 	load(t, g, schema)
 	old, next, third := g.Servers()[0], g.Servers()[1], g.Servers()[2]
-	g.CutServer(old.ID(), true)
+	g.PartitionServer(old.ID(), true)
 	conn := connect(t, old, "client", simple)
 	exec(t, conn, "INSERT INTO tabs (name) VALUES ('lost 1')")
 	exec(t, conn, "INSERT INTO tabs (name) VALUES ('lost 2')")
@@ -102,7 +102,7 @@
 	if diff := cmp.Diff([]string{"lost 1", "lost 2"}, names(t, conn)); diff != "" {
 		t.Errorf("rows of the old primary (-want +got):\n%s", diff)
 	}
-	g.CutServer(old.ID(), false)
+	g.PartitionServer(old.ID(), false)
 	if err := g.WaitApplied(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
@@ -192,13 +192,13 @@
 	}
 }
 
-// TestLostCommitAnswer guards against a stand-in that loses the change
+// TestDroppedCommitResponse guards against a stand-in that loses the change
 // together with the answer.
-func TestLostCommitAnswer(t *testing.T) {
+func TestDroppedCommitResponse(t *testing.T) {
 	g := newGroup(t, standin.Options{})
 	load(t, g, schema)
 	primary := g.Servers()[0]
-	primary.LoseCommitAnswers(1)
+	primary.DropCommitResponses(1)
 	_, err := connect(t, primary, "client", simple).Exec(testContext(t), "INSERT INTO tabs (name) VALUES ('A-Z')")
 	if err == nil || code(err) != "" {
 		t.Errorf("Exec() error = %v, want a broken connection", err)
@@ -255,9 +255,9 @@
 	}
 }
 
-// TestPauseAndCut guards against answers of a server that is paused or cut off
+// TestPauseAndBlockClients guards against answers of a server that is paused or cut off
 // from a client, and against requests that are lost when the fault ends.
-func TestPauseAndCut(t *testing.T) {
+func TestPauseAndBlockClients(t *testing.T) {
 	g := newGroup(t, standin.Options{})
 	load(t, g, schema)
 	primary := g.Servers()[0]
@@ -267,18 +267,18 @@
 		_, err := conn.Exec(context.Background(), "SELECT 1")
 		answered <- err
 	}
-	primary.CutClients("proxy-1")
+	primary.BlockClients("proxy-1")
 	go ask(cut)
 	exec(t, other, "SELECT 1")
 	expectSilence(t, answered)
-	primary.CutClients()
+	primary.BlockClients()
 	expectAnswer(t, answered)
 
-	primary.Pause(true)
+	primary.SetPaused(true)
 	go ask(other)
 	exec(t, connect(t, g.Servers()[1], "client", simple), "SELECT 1")
 	expectSilence(t, answered)
-	primary.Pause(false)
+	primary.SetPaused(false)
 	expectAnswer(t, answered)
 }
 
--- a/standin/options.go
+++ b/standin/options.go
@@ -37,8 +37,8 @@
 	ApplyLag time.Duration
 	// Authentication is Trust when empty.
 	Authentication Authentication
-	// ConnectionCost is the time that each start-up of a connection takes.
-	ConnectionCost time.Duration
+	// ConnectDelay is the time that each start-up of a connection takes.
+	ConnectDelay time.Duration
 	// ConnectionLimit is the largest number of session connections of one
 	// server. Zero means 20.
 	ConnectionLimit int
@@ -61,7 +61,7 @@
 // DefaultOptions returns options with the usual delays of the deployments:
 // 10 ms to open a connection and 1 ms from server to server.
 func DefaultOptions() Options {
-	return Options{ConnectionCost: defaultConnectionCost, ReceiveDelay: defaultReceiveDelay}
+	return Options{ConnectDelay: defaultConnectionCost, ReceiveDelay: defaultReceiveDelay}
 }
 
 // check fills in defaults and reports values that cannot be used.
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -127,8 +127,8 @@
 	p.frozen, p.isFrozen = p.sortedInstances(), frozen
 }
 
-// LoseAnswers fails the next n writes after they took effect.
-func (p *Platform) LoseAnswers(n int) {
+// DropResponses fails the next n writes after they took effect.
+func (p *Platform) DropResponses(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loseAnswers = n
--- a/standin/safety_test.go
+++ b/standin/safety_test.go
@@ -69,9 +69,9 @@
 			s.Crash()
 			s.Restart(true)
 		case "Cut":
-			g.CutServer(s.ID(), true)
+			g.PartitionServer(s.ID(), true)
 		case "Heal":
-			g.CutServer(s.ID(), false)
+			g.PartitionServer(s.ID(), false)
 		case "Lose":
 			m.lose(s)
 		case "Promote":
@@ -162,7 +162,7 @@
 // check heals the group and compares the rows of all servers.
 func (m *groupModel) check() {
 	for _, s := range m.group.Servers() {
-		m.group.CutServer(s.ID(), false)
+		m.group.PartitionServer(s.ID(), false)
 	}
 	// The others are a majority, and they give promises.
 	if !m.promote(slices.DeleteFunc(m.group.Servers(), func(s *standin.Server) bool { return s == m.lost })) {
--- a/standin/session.go
+++ b/standin/session.go
@@ -181,7 +181,7 @@
 			return err
 		}
 	}
-	if err := c.sleep(c.ctx, c.server.group.options.ConnectionCost); err != nil {
+	if err := c.sleep(c.ctx, c.server.group.options.ConnectDelay); err != nil {
 		return errClosed
 	}
 	if err := c.authenticate(message.Parameters["user"]); err != nil {
