--- a/standin/authentication.go
+++ b/standin/authentication.go
@@ -7,16 +7,16 @@
 	"github.com/xdg-go/scram"
 )
 
-// scramMechanism is the name of the SCRAM variant.
+// scramMechanism is the SASL mechanism that the server offers.
 const scramMechanism = "SCRAM-SHA-256"
 
-// Parameters of the stored SCRAM credentials of a stand-in.
+// Parameters of the SCRAM credentials that the server derives from the password.
 const (
 	scramIterations = 4096
 	scramSalt       = "nutmegpier-stand"
 )
 
-// authenticate checks the client's password.
+// authenticate checks the user name and password with the configured method.
 func (c *session) authenticate(user string) error {
 	options := c.server.group.options
 	if options.Authentication != AuthenticationTrust && user != options.User {
@@ -43,11 +43,11 @@
 	if err != nil {
 		return errClosed
 	}
-	answer, ok := message.(*pgproto3.PasswordMessage)
+	response, ok := message.(*pgproto3.PasswordMessage)
 	if !ok {
 		return newSQLError(codeProtocol, "expected a password message")
 	}
-	if subtle.ConstantTimeCompare([]byte(answer.Password), []byte(password)) != 1 {
+	if subtle.ConstantTimeCompare([]byte(response.Password), []byte(password)) != 1 {
 		return newSQLError(codeAuthentication, "password authentication failed")
 	}
 	return nil
@@ -63,25 +63,26 @@
 	if err != nil {
 		return err
 	}
-	answer, err := conversation.Step(string(first.Data))
+	response, err := conversation.Step(string(first.Data))
 	if err != nil {
 		return newSQLError(codeAuthentication, "password authentication failed")
 	}
-	c.backend.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(answer)})
+	c.backend.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(response)})
 	second, err := receiveAuth[*pgproto3.SASLResponse](c, pgproto3.AuthTypeSASLContinue)
 	if err != nil {
 		return err
 	}
-	answer, err = conversation.Step(string(second.Data))
+	response, err = conversation.Step(string(second.Data))
 	if err != nil || !conversation.Valid() {
 		return newSQLError(codeAuthentication, "password authentication failed")
 	}
-	c.backend.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(answer)})
+	c.backend.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(response)})
 	return nil
 }
 
-// newSCRAMConversation ignores the user name inside the SCRAM messages.
-// PostgreSQL clients leave it empty there.
+// newSCRAMConversation starts the server side of a SCRAM exchange. It ignores
+// the user name inside the SCRAM messages, because PostgreSQL clients leave it
+// empty there.
 func newSCRAMConversation(user, password string) (*scram.ServerConversation, error) {
 	client, err := scram.SHA256.NewClient(user, password, "")
 	if err != nil {
@@ -98,7 +99,8 @@
 	return server.NewConversation(), nil
 }
 
-// receiveAuth flushes and receives an authentication message of one type.
+// receiveAuth flushes the buffered messages and receives an authentication
+// message of the given type.
 func receiveAuth[M pgproto3.FrontendMessage](c *session, authType uint32) (M, error) {
 	var none M
 	if err := c.backend.SetAuthType(authType); err != nil {
--- a/standin/copy.go
+++ b/standin/copy.go
@@ -7,19 +7,19 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// copyFormatText is the protocol's code for COPY in text form.
+// copyFormatText is the protocol's code for the text format of COPY.
 const copyFormatText = 0
 
-// copyPattern matches the supported forms of COPY. Options other than the
-// text format are refused.
+// copyPattern matches the supported forms of COPY. The only supported option is
+// the text format.
 var copyPattern = regexp.MustCompile(`(?is)^copy\s+(?:"?(\w+)"?\s*(?:\(([^)]*)\))?|\((.*)\))\s+(from\s+stdin|to\s+stdout)\s*(?:(?:with\s*)?\(?\s*format\s+'?text'?\s*\)?)?\s*$`)
 
 // copyCommand is a parsed COPY statement.
 type copyCommand struct {
-	columns string
-	from    bool
-	query   string
-	table   string
+	columns   string
+	fromStdin bool
+	query     string
+	table     string
 }
 
 func parseCopy(text string) (*copyCommand, error) {
@@ -27,14 +27,14 @@
 	if m == nil {
 		return nil, newSQLError(codeFeatureUnsupported, "this form of COPY is not supported")
 	}
-	cmd := &copyCommand{columns: m[2], from: strings.HasPrefix(strings.ToLower(m[4]), "from"), query: m[3], table: m[1]}
-	if cmd.from && cmd.table == "" {
+	cmd := &copyCommand{columns: m[2], fromStdin: strings.HasPrefix(strings.ToLower(m[4]), "from"), query: m[3], table: m[1]}
+	if cmd.fromStdin && cmd.table == "" {
 		return nil, newSQLError(codeSyntax, "COPY FROM needs a table")
 	}
 	return cmd, nil
 }
 
-// selectText returns the query for the columns of the command.
+// selectText returns the query whose columns or rows are copied.
 func (cmd *copyCommand) selectText() string {
 	switch {
 	case cmd.query != "":
@@ -54,8 +54,9 @@
 	return "INSERT INTO " + cmd.table + columns + " VALUES (" + strings.TrimSuffix(strings.Repeat("?,", n), ",") + ")"
 }
 
-// copyStatement runs a COPY statement.
-func (c *session) copyStatement(s *statement, last bool) error {
+// runCopy runs a COPY statement. After the last statement of a simple query it
+// ends the implicit transaction before it sends the command tag.
+func (c *session) runCopy(s *statement, last bool) error {
 	if c.tx != nil && c.tx.failed {
 		_, err := c.run(s, nil)
 		return err
@@ -65,7 +66,7 @@
 		return err
 	}
 	run := c.copyOut
-	if cmd.from {
+	if cmd.fromStdin {
 		run = c.copyIn
 	}
 	rows, err := run(cmd)
@@ -73,11 +74,11 @@
 		return err
 	}
 	if last {
-		if err := c.endImplicit(); err != nil {
+		if err := c.endImplicitTransaction(); err != nil {
 			return err
 		}
 	}
-	c.sendTag(s.tag(rows))
+	c.sendCommandComplete(s.tag(rows))
 	return nil
 }
 
@@ -86,7 +87,7 @@
 	if err != nil {
 		return 0, err
 	}
-	set.settleTypes(guessType)
+	set.resolveTypes(defaultColumnType)
 	c.backend.Send(&pgproto3.CopyOutResponse{ColumnFormatCodes: make([]uint16, len(set.columns)), OverallFormat: copyFormatText})
 	for _, row := range set.rows {
 		fields := make([]string, len(row))
@@ -117,15 +118,16 @@
 	if err != nil {
 		return 0, err
 	}
-	release, err := c.occupySlot(ctx, 0)
+	release, err := c.acquireSlot(ctx, 0)
 	if err != nil {
 		return 0, err
 	}
 	defer release()
-	return c.insertLines(cmd, set.columns, data)
+	return c.insertCopyLines(cmd, set.columns, data)
 }
 
-// receiveCopy receives the data of a COPY FROM STDIN.
+// receiveCopy receives the data of a COPY FROM STDIN until the client completes
+// or fails the transfer.
 func (c *session) receiveCopy() (string, error) {
 	var data strings.Builder
 	for {
@@ -137,7 +139,7 @@
 		case *pgproto3.CopyData:
 			data.Write(m.Data)
 		case *pgproto3.CopyDone:
-			return data.String(), c.gate()
+			return data.String(), c.awaitReachable()
 		case *pgproto3.CopyFail:
 			return "", newSQLError(codeQueryCanceled, "COPY from stdin failed: %s", m.Message)
 		case *pgproto3.Flush, *pgproto3.Sync:
@@ -147,7 +149,7 @@
 	}
 }
 
-func (c *session) insertLines(cmd *copyCommand, columns []column, data string) (int64, error) {
+func (c *session) insertCopyLines(cmd *copyCommand, columns []column, data string) (int64, error) {
 	sql := cmd.insertText(len(columns))
 	var rows int64
 	for line := range strings.SplitSeq(strings.TrimSuffix(data, "\n"), "\n") {
@@ -172,13 +174,14 @@
 	return rows, nil
 }
 
-// Escapes of the text form of COPY.
+// copyEscaper and copyUnescaper convert the escape sequences of COPY's text
+// format.
 var (
 	copyEscaper   = strings.NewReplacer(`\`, `\\`, "\t", `\t`, "\n", `\n`, "\r", `\r`)
 	copyUnescaper = strings.NewReplacer(`\\`, `\`, `\t`, "\t", `\n`, "\n", `\r`, "\r")
 )
 
-// copyField returns the text form of a value in COPY data.
+// copyField returns the text format of a value in COPY data.
 func copyField(oid uint32, value any) string {
 	if value == nil {
 		return `\N`
--- a/standin/describe.go
+++ b/standin/describe.go
@@ -8,26 +8,27 @@
 	"github.com/jackc/pgx/v5/pgtype"
 )
 
-// A server must name the types of parameters and result columns before a
-// statement runs. SQLite has no such types, so that they are inferred from
-// declared columns, casts and the names of aggregate functions.
+// The extended protocol describes the types of parameters and result columns
+// before a statement runs. SQLite does not know them at that point, so they are
+// inferred from declared columns, casts and the names of aggregate functions.
 
-// maxParameters is the largest number of parameters of a statement.
+// maxParameters is the largest number of parameters of a statement in
+// PostgreSQL's protocol.
 const maxParameters = 65535
 
 var (
-	castPattern       = regexp.MustCompile(`(?i)\$(\d+)\s*::\s*(\w+(?:\s+precision)?)`)
-	columnAsPattern   = regexp.MustCompile(`(?i)::\s*(\w+(?:\s+precision)?)(\s+as\s+\w+)?\s*$`)
-	comparisonPattern = regexp.MustCompile(`(?i)(?:\b\w+\.)?"?(\w+)"?\s*(?:=|<>|!=|<=|>=|<|>|\blike\b|\bilike\b|[-+*/])\s*\$(\d+)`)
-	insertPattern     = regexp.MustCompile(`(?is)^insert\s+into\s+"?(\w+)"?\s*(?:\(([^)]*)\))?\s*values\s*(.*)$`)
-	limitPattern      = regexp.MustCompile(`(?i)\b(?:limit|offset)\s+\$(\d+)`)
-	listPattern       = regexp.MustCompile(`(?i)(?:\b\w+\.)?"?(\w+)"?\s+in\s*\(([^()]*)\)`)
-	parameterPattern  = regexp.MustCompile(`\$(\d+)`)
-	sleepParameter    = regexp.MustCompile(`(?i)\bpg_sleep\(\s*\$(\d+)`)
-	tablePattern      = regexp.MustCompile(`(?is)^(?:insert\s+into|update|delete\s+from)\s+"?(\w+)"?`)
+	parameterCastPattern  = regexp.MustCompile(`(?i)\$(\d+)\s*::\s*(\w+(?:\s+precision)?)`)
+	trailingCastPattern   = regexp.MustCompile(`(?i)::\s*(\w+(?:\s+precision)?)(\s+as\s+\w+)?\s*$`)
+	comparisonPattern     = regexp.MustCompile(`(?i)(?:\b\w+\.)?"?(\w+)"?\s*(?:=|<>|!=|<=|>=|<|>|\blike\b|\bilike\b|[-+*/])\s*\$(\d+)`)
+	insertPattern         = regexp.MustCompile(`(?is)^insert\s+into\s+"?(\w+)"?\s*(?:\(([^)]*)\))?\s*values\s*(.*)$`)
+	limitParameterPattern = regexp.MustCompile(`(?i)\b(?:limit|offset)\s+\$(\d+)`)
+	inListPattern         = regexp.MustCompile(`(?i)(?:\b\w+\.)?"?(\w+)"?\s+in\s*\(([^()]*)\)`)
+	parameterPattern      = regexp.MustCompile(`\$(\d+)`)
+	sleepParameterPattern = regexp.MustCompile(`(?i)\bpg_sleep\(\s*\$(\d+)`)
+	writeTablePattern     = regexp.MustCompile(`(?is)^(?:insert\s+into|update|delete\s+from)\s+"?(\w+)"?`)
 )
 
-// typeNames maps the type names of casts to types.
+// typeNames maps the type names in casts to type OIDs.
 var typeNames = map[string]uint32{
 	"bigint": pgtype.Int8OID, "bool": pgtype.BoolOID, "boolean": pgtype.BoolOID, "double precision": pgtype.Float8OID,
 	"float": pgtype.Float8OID, "float8": pgtype.Float8OID, "int": pgtype.Int8OID, "int4": pgtype.Int8OID,
@@ -35,13 +36,14 @@
 	"text": pgtype.TextOID, "varchar": pgtype.TextOID,
 }
 
-// parameterTypes returns the types of the parameters: those that the client
-// declared, and guesses for the others. A parameter without any hint is an
-// int8: clients then send numbers as such, and texts in text form.
-func (c *session) parameterTypes(s *statement, declared []uint32) ([]uint32, error) {
-	bare := blankLiterals(s.text)
+// inferParameterTypes returns the types of the parameters: those that the client
+// declared, and inferred ones for the others. A parameter whose type cannot be
+// inferred is an int8: clients then send numbers as integers, and strings in the
+// text format.
+func (c *session) inferParameterTypes(s *statement, declared []uint32) ([]uint32, error) {
+	withoutLiterals := blankLiterals(s.text)
 	count := len(declared)
-	for _, m := range parameterPattern.FindAllStringSubmatch(bare, -1) {
+	for _, m := range parameterPattern.FindAllStringSubmatch(withoutLiterals, -1) {
 		n, err := strconv.Atoi(m[1])
 		if err != nil || n < 1 || n > maxParameters {
 			return nil, newSQLError(codeSyntax, "there is no parameter $%s", m[1])
@@ -53,29 +55,30 @@
 	}
 	types := make([]uint32, count)
 	copy(types, declared)
-	g := &typeGuess{types: types}
-	g.fromCasts(bare)
-	if g.complete() {
+	inference := &parameterTypeInference{types: types}
+	inference.inferFromCasts(withoutLiterals)
+	if inference.allKnown() {
 		return types, nil
 	}
-	columns, err := c.declaredColumns()
+	columns, err := c.readSchemaColumns()
 	if err != nil {
 		return nil, err
 	}
-	g.fromColumns(bare, columns)
+	inference.inferFromColumns(withoutLiterals, columns)
 	for i := range types {
-		g.set(strconv.Itoa(i+1), pgtype.Int8OID)
+		inference.setIfUnknown(strconv.Itoa(i+1), pgtype.Int8OID)
 	}
 	return types, nil
 }
 
-// typeGuess collects the types of parameters. The first hint counts.
-type typeGuess struct {
+// parameterTypeInference collects the types of parameters. The first type that is
+// found for a parameter takes precedence.
+type parameterTypeInference struct {
 	types []uint32
 }
 
-func (g *typeGuess) complete() bool {
-	for _, t := range g.types {
+func (inference *parameterTypeInference) allKnown() bool {
+	for _, t := range inference.types {
 		if t == 0 {
 			return false
 		}
@@ -83,39 +86,40 @@
 	return true
 }
 
-func (g *typeGuess) set(number string, oid uint32) {
+func (inference *parameterTypeInference) setIfUnknown(number string, oid uint32) {
 	n, err := strconv.Atoi(number)
-	if err == nil && n >= 1 && n <= len(g.types) && g.types[n-1] == 0 {
-		g.types[n-1] = oid
+	if err == nil && n >= 1 && n <= len(inference.types) && inference.types[n-1] == 0 {
+		inference.types[n-1] = oid
 	}
 }
 
-func (g *typeGuess) fromCasts(text string) {
-	for _, m := range castPattern.FindAllStringSubmatch(text, -1) {
-		g.set(m[1], typeNames[strings.ToLower(strings.Join(strings.Fields(m[2]), " "))])
+func (inference *parameterTypeInference) inferFromCasts(text string) {
+	for _, m := range parameterCastPattern.FindAllStringSubmatch(text, -1) {
+		inference.setIfUnknown(m[1], typeNames[strings.ToLower(strings.Join(strings.Fields(m[2]), " "))])
 	}
-	for _, m := range limitPattern.FindAllStringSubmatch(text, -1) {
-		g.set(m[1], pgtype.Int8OID)
+	for _, m := range limitParameterPattern.FindAllStringSubmatch(text, -1) {
+		inference.setIfUnknown(m[1], pgtype.Int8OID)
 	}
-	for _, m := range sleepParameter.FindAllStringSubmatch(text, -1) {
-		g.set(m[1], pgtype.Float8OID)
+	for _, m := range sleepParameterPattern.FindAllStringSubmatch(text, -1) {
+		inference.setIfUnknown(m[1], pgtype.Float8OID)
 	}
 }
 
-func (g *typeGuess) fromColumns(text string, columns *schemaColumns) {
+func (inference *parameterTypeInference) inferFromColumns(text string, columns *schemaColumns) {
 	for _, m := range comparisonPattern.FindAllStringSubmatch(text, -1) {
-		g.set(m[2], columns.types[strings.ToLower(m[1])])
+		inference.setIfUnknown(m[2], columns.types[strings.ToLower(m[1])])
 	}
-	for _, m := range listPattern.FindAllStringSubmatch(text, -1) {
+	for _, m := range inListPattern.FindAllStringSubmatch(text, -1) {
 		for _, p := range parameterPattern.FindAllStringSubmatch(m[2], -1) {
-			g.set(p[1], columns.types[strings.ToLower(m[1])])
+			inference.setIfUnknown(p[1], columns.types[strings.ToLower(m[1])])
 		}
 	}
-	g.fromInsert(text, columns)
+	inference.inferFromInsert(text, columns)
 }
 
-// fromInsert gives the parameters of VALUES the types of their columns.
-func (g *typeGuess) fromInsert(text string, columns *schemaColumns) {
+// inferFromInsert gives the parameters in the VALUES list of an INSERT the types
+// of the columns that they are inserted into.
+func (inference *parameterTypeInference) inferFromInsert(text string, columns *schemaColumns) {
 	m := insertPattern.FindStringSubmatch(text)
 	if m == nil {
 		return
@@ -130,7 +134,7 @@
 	for _, tuple := range regexp.MustCompile(`\(([^()]*)\)`).FindAllStringSubmatch(m[3], -1) {
 		for i, value := range strings.Split(tuple[1], ",") {
 			if p := parameterPattern.FindStringSubmatch(value); p != nil && i < len(names) {
-				g.set(p[1], columns.types[strings.ToLower(strings.Trim(names[i], ` "`))])
+				inference.setIfUnknown(p[1], columns.types[strings.ToLower(strings.Trim(names[i], ` "`))])
 			}
 		}
 	}
@@ -138,17 +142,18 @@
 
 // schemaColumns are the columns of all tables.
 type schemaColumns struct {
-	// tables lists the columns of a table in order.
+	// tables holds the column names by table name, in the declared order.
 	tables map[string][]string
-	// types are the types by column name. Tables rarely disagree on them.
+	// types holds the types by column name. The table is not part of the key,
+	// because columns of the same name rarely differ in type.
 	types map[string]uint32
 }
 
 // schemaSQL lists the columns of all tables.
 const schemaSQL = "SELECT lower(m.name), lower(p.name), p.type FROM sqlite_master m, pragma_table_info(m.name) p WHERE m.type = 'table' ORDER BY m.name, p.cid"
 
-func (c *session) declaredColumns() (*schemaColumns, error) {
-	set, err := c.peek(schemaSQL, nil)
+func (c *session) readSchemaColumns() (*schemaColumns, error) {
+	set, err := c.readKeepingPosition(schemaSQL, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -156,25 +161,27 @@
 	for _, row := range set.rows {
 		table, name := textOf(pgtype.TextOID, row[0]), textOf(pgtype.TextOID, row[1])
 		columns.tables[table] = append(columns.tables[table], name)
-		columns.types[name] = oidOfDeclared(textOf(pgtype.TextOID, row[2]))
+		columns.types[name] = oidOfDeclaredType(textOf(pgtype.TextOID, row[2]))
 	}
 	return columns, nil
 }
 
-// peek runs a query like read, but leaves the session's position as it is.
-func (c *session) peek(sql string, args []any) (*rowSet, error) {
+// readKeepingPosition runs a query like read, but does not change the session's
+// position.
+func (c *session) readKeepingPosition(sql string, args []any) (*resultSet, error) {
 	position := c.position
 	set, err := c.read(sql, args)
 	c.position = position
 	return set, err
 }
 
-// describe finds the result columns of a statement.
-func (c *session) describe(p *preparedStatement) error {
+// ensureDescribed determines the result columns of a prepared statement, unless
+// they are known already.
+func (c *session) ensureDescribed(p *preparedStatement) error {
 	if p.described {
 		return nil
 	}
-	set, err := c.describeSet(p)
+	set, err := c.describeResult(p)
 	if err != nil {
 		return err
 	}
@@ -182,7 +189,7 @@
 	return nil
 }
 
-func (c *session) describeSet(p *preparedStatement) (*rowSet, error) {
+func (c *session) describeResult(p *preparedStatement) (*resultSet, error) {
 	s := p.statement
 	switch s.class {
 	case classCall:
@@ -198,39 +205,41 @@
 	for i, oid := range p.parameters {
 		args[i] = sampleValue(oid)
 	}
-	sql := c.prepareQuery(&statement{text: describeText(s)}, args).sql
+	sql := c.prepareQuery(&statement{text: describeSQL(s)}, args).sql
 	if s.keyword != "EXPLAIN" {
 		sql = "SELECT * FROM (" + sql + ") LIMIT 1"
 	}
-	set, err := c.peek(sql, args)
+	set, err := c.readKeepingPosition(sql, args)
 	if err != nil {
 		return nil, err
 	}
-	hints := columnHints(s)
+	itemTypes := selectItemTypes(s)
 	for i := range set.columns {
-		if i < len(hints) && hints[i] != 0 {
-			set.columns[i].oid = hints[i]
+		if i < len(itemTypes) && itemTypes[i] != 0 {
+			set.columns[i].oid = itemTypes[i]
 		}
 	}
-	set.settleTypes(guessType)
+	set.resolveTypes(defaultColumnType)
 	return set, nil
 }
 
-// describeText returns a query with the same result columns as the statement
+// describeSQL returns a query with the same result columns as the statement
 // and without its effects.
-func describeText(s *statement) string {
+func describeSQL(s *statement) string {
 	if s.class == classRead || s.locking {
 		return s.text
 	}
 	at := returningPattern.FindStringIndex(blankLiterals(s.text))
-	table := tablePattern.FindStringSubmatch(s.text)
+	table := writeTablePattern.FindStringSubmatch(s.text)
 	if at == nil || table == nil {
 		return s.text
 	}
 	return "SELECT " + s.text[at[1]:] + " FROM " + table[1] + " LIMIT 0"
 }
 
-// sampleValue is a value of a type that is valid in each place, also in LIMIT.
+// sampleValue returns a value for a parameter of the type, for the query that
+// determines the result columns. It is valid wherever a parameter is, also in
+// LIMIT.
 func sampleValue(oid uint32) any {
 	switch oid {
 	case pgtype.TextOID, pgtype.VarcharOID:
@@ -241,26 +250,28 @@
 	return int64(0)
 }
 
-// columnHints returns the types of result columns that end with a cast, and
-// zero for the others.
-func columnHints(s *statement) []uint32 {
-	bare := blankLiterals(s.text)
+// selectItemTypes returns the types of the items of a select list that are given
+// by a cast or a function, and zero for the others. It returns nil if the list
+// contains a *, because the items then do not match the result columns.
+func selectItemTypes(s *statement) []uint32 {
+	withoutLiterals := blankLiterals(s.text)
 	if !strings.EqualFold(s.keyword, "SELECT") {
 		return nil
 	}
-	var hints []uint32
-	for _, item := range selectItems(bare[len("SELECT"):]) {
+	var itemTypes []uint32
+	for _, item := range selectItems(withoutLiterals[len("SELECT"):]) {
 		if strings.TrimSpace(item) == "*" {
 			return nil
 		}
-		hints = append(hints, itemType(item))
+		itemTypes = append(itemTypes, selectItemType(item))
 	}
-	return hints
+	return itemTypes
 }
 
-// itemType returns the type that a cast or an aggregate gives to a result column.
-func itemType(item string) uint32 {
-	if m := columnAsPattern.FindStringSubmatch(item); m != nil {
+// selectItemType returns the type that a cast or a function gives to an item of a
+// select list, or zero.
+func selectItemType(item string) uint32 {
+	if m := trailingCastPattern.FindStringSubmatch(item); m != nil {
 		return typeNames[strings.ToLower(strings.Join(strings.Fields(m[1]), " "))]
 	}
 	name, _, found := strings.Cut(strings.ToLower(strings.TrimSpace(item)), "(")
@@ -278,7 +289,8 @@
 	return 0
 }
 
-// selectItems splits the select list at its commas outside of parentheses.
+// selectItems splits a select list at the commas outside of parentheses. It stops
+// at the FROM clause.
 func selectItems(text string) []string {
 	var items []string
 	depth, start := 0, 0
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -10,10 +10,11 @@
 	_ "modernc.org/sqlite" // The SQL engine of the servers.
 )
 
-// statementCacheSize bounds the prepared statements of one database.
+// statementCacheSize is the largest number of cached prepared statements of one
+// database.
 const statementCacheSize = 256
 
-// database is one SQLite database in memory with a single connection.
+// database is an in-memory SQLite database with a single connection.
 type database struct {
 	db         *sql.DB
 	statements map[string]*sql.Stmt
@@ -24,7 +25,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("open database: %w", err)
 	}
-	// A second connection would see another, empty database.
+	// Each connection to :memory: opens a separate, empty database.
 	db.SetMaxOpenConns(1)
 	return &database{db: db, statements: make(map[string]*sql.Stmt)}, nil
 }
@@ -33,7 +34,7 @@
 	d.db.Close()
 }
 
-// exec runs a statement without a result.
+// exec runs a statement that returns no rows.
 func (d *database) exec(text string) error {
 	if _, err := d.db.Exec(text); err != nil {
 		return translateError(err)
@@ -41,7 +42,8 @@
 	return nil
 }
 
-// prepare returns the cached prepared statement.
+// prepare returns the prepared statement from the cache, or prepares it. A full
+// cache evicts an arbitrary statement.
 func (d *database) prepare(text string) (*sql.Stmt, error) {
 	if stmt := d.statements[text]; stmt != nil {
 		return stmt, nil
@@ -61,15 +63,15 @@
 	return stmt, nil
 }
 
-// rowSet is the buffered result of a statement.
-type rowSet struct {
+// resultSet is the whole result of a statement in memory.
+type resultSet struct {
 	affected int64
 	columns  []column
 	rows     [][]any
 }
 
 // run runs a statement and reads its whole result.
-func (d *database) run(text string, args []any, returnsRows bool) (*rowSet, error) {
+func (d *database) run(text string, args []any, returnsRows bool) (*resultSet, error) {
 	stmt, err := d.prepare(text)
 	if err != nil {
 		return nil, err
@@ -83,7 +85,7 @@
 		if err != nil {
 			return nil, translateError(err)
 		}
-		return &rowSet{affected: affected}, nil
+		return &resultSet{affected: affected}, nil
 	}
 	rows, err := stmt.Query(args...)
 	if err != nil {
@@ -93,14 +95,14 @@
 	return readRows(rows)
 }
 
-func readRows(rows *sql.Rows) (*rowSet, error) {
+func readRows(rows *sql.Rows) (*resultSet, error) {
 	types, err := rows.ColumnTypes()
 	if err != nil {
 		return nil, translateError(err)
 	}
-	set := &rowSet{}
+	set := &resultSet{}
 	for _, t := range types {
-		set.columns = append(set.columns, column{name: t.Name(), oid: oidOfDeclared(t.DatabaseTypeName())})
+		set.columns = append(set.columns, column{name: t.Name(), oid: oidOfDeclaredType(t.DatabaseTypeName())})
 	}
 	for rows.Next() {
 		values := make([]any, len(types))
@@ -120,14 +122,15 @@
 	return set, nil
 }
 
-// engine holds the data of one server. Reads see the committed database. The
-// open write transaction works on a second copy, so that other sessions never
-// see its changes before the commit. All fields are guarded by mu.
+// engine holds the data of one server in two databases. Reads use the committed
+// one. The open write transaction uses the working copy, so that other sessions
+// never see its changes before the commit. All fields are guarded by mu. writeTx
+// is the transaction that is open on the working copy, or nil.
 type engine struct {
 	committed *database
 	mu        sync.Mutex
-	owner     *transaction
-	work      *database
+	writeTx   *transaction
+	working   *database
 }
 
 func newEngine() (*engine, error) {
@@ -140,22 +143,22 @@
 	if err != nil {
 		return err
 	}
-	work, err := newDatabase()
+	working, err := newDatabase()
 	if err != nil {
 		committed.close()
 		return err
 	}
-	e.committed, e.work, e.owner = committed, work, nil
+	e.committed, e.working, e.writeTx = committed, working, nil
 	return nil
 }
 
 func (e *engine) close() {
 	e.committed.close()
-	e.work.close()
+	e.working.close()
 }
 
-// rebuild replaces the data by a replay of the log.
-func (e *engine) rebuild(log []logged) error {
+// rebuild discards the data and replays the log into empty databases.
+func (e *engine) rebuild(log []storedEntry) error {
 	e.close()
 	if err := e.open(); err != nil {
 		return err
@@ -168,42 +171,45 @@
 	return nil
 }
 
-// begin starts a write transaction. An earlier one is an aborted one.
+// begin starts a write transaction. A transaction that is still open was aborted
+// by the server and is rolled back.
 func (e *engine) begin(tx *transaction) error {
-	if err := e.abandon(); err != nil {
+	if err := e.rollbackOpenTx(); err != nil {
 		return err
 	}
-	if err := e.work.exec("BEGIN"); err != nil {
+	if err := e.working.exec("BEGIN"); err != nil {
 		return err
 	}
-	e.owner = tx
+	e.writeTx = tx
 	return nil
 }
 
-// abandon rolls the open write transaction back.
-func (e *engine) abandon() error {
-	if e.owner == nil {
+// rollbackOpenTx rolls back the open write transaction, if there is one.
+func (e *engine) rollbackOpenTx() error {
+	if e.writeTx == nil {
 		return nil
 	}
-	e.owner = nil
-	return e.work.exec("ROLLBACK")
+	e.writeTx = nil
+	return e.working.exec("ROLLBACK")
 }
 
-// commit ends the write transaction and repeats it on the committed database.
+// commit commits the write transaction on the working copy and replays it on the
+// committed database.
 func (e *engine) commit(entry *entry) error {
-	e.owner = nil
-	if err := e.work.exec("COMMIT"); err != nil {
+	e.writeTx = nil
+	if err := e.working.exec("COMMIT"); err != nil {
 		return err
 	}
 	return replay(e.committed, entry)
 }
 
-// apply applies an entry of another server.
+// apply replays an entry that was received from another server on both databases.
+// An open write transaction is rolled back first.
 func (e *engine) apply(entry *entry) error {
-	if err := e.abandon(); err != nil {
+	if err := e.rollbackOpenTx(); err != nil {
 		return err
 	}
-	if err := replay(e.work, entry); err != nil {
+	if err := replay(e.working, entry); err != nil {
 		return err
 	}
 	return replay(e.committed, entry)
@@ -224,7 +230,7 @@
 	return d.exec("COMMIT")
 }
 
-// errorPatterns maps the texts of SQLite errors to SQLSTATE codes.
+// errorPatterns maps parts of SQLite's error messages to SQLSTATE codes.
 var errorPatterns = []struct{ pattern, code string }{
 	{"UNIQUE constraint failed", codeUnique},
 	{"NOT NULL constraint failed", codeNotNull},
@@ -240,7 +246,7 @@
 	{"incomplete input", codeSyntax},
 }
 
-// translateError turns an error of SQLite into one with a SQLSTATE code.
+// translateError converts an error of SQLite to one with a SQLSTATE code.
 func translateError(err error) error {
 	for _, p := range errorPatterns {
 		if strings.Contains(err.Error(), p.pattern) {
@@ -250,7 +256,7 @@
 	return newSQLError(codeInternal, "%v", err)
 }
 
-// timestampText is the text form of now().
+// timestampText formats a time as PostgreSQL formats the result of now().
 func timestampText(now time.Time) string {
 	return now.UTC().Format("2006-01-02 15:04:05.000000+00")
 }
--- a/standin/entry.go
+++ b/standin/entry.go
@@ -6,7 +6,7 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// loggedStatement is a statement with its bound values.
+// loggedStatement is a statement in a log entry, with its bound values.
 type loggedStatement struct {
 	args []any
 	sql  string
@@ -19,15 +19,15 @@
 	term       fleet.Term
 }
 
-// logged is an entry in the log of one server.
-type logged struct {
+// storedEntry is an entry as stored in the log of one server.
+type storedEntry struct {
 	*entry
-	// at is the time at which the server appended or received the entry.
-	at time.Time
+	// storedAt is when the server appended or received the entry.
+	storedAt time.Time
 }
 
-// historyOf returns the terms of a log.
-func historyOf(log []logged) fleet.History {
+// termHistory returns the first log position of each term in a log.
+func termHistory(log []storedEntry) fleet.History {
 	var history fleet.History
 	for i, e := range log {
 		if e.term != history.LastTerm() {
@@ -37,9 +37,9 @@
 	return history
 }
 
-// commonPrefix returns the number of entries that two logs share. Entries
-// with the same term and position are the same, because a term has one primary.
-func commonPrefix(a, b []logged) int {
+// commonPrefix returns the length of the common prefix of two logs. Entries with
+// the same term and position are identical, because a term has only one primary.
+func commonPrefix(a, b []storedEntry) int {
 	n := min(len(a), len(b))
 	for n > 0 && a[n-1].term != b[n-1].term {
 		n--
@@ -47,8 +47,9 @@
 	return n
 }
 
-// positionAt returns the position of the entry with the given number.
-func positionAt(log []logged, number int) fleet.Position {
+// positionAt returns the position of the entry with the given number. Numbers
+// start at 1; 0 gives the zero position.
+func positionAt(log []storedEntry, number int) fleet.Position {
 	if number == 0 {
 		return fleet.Position{}
 	}
--- a/standin/error.go
+++ b/standin/error.go
@@ -1,7 +1,7 @@
 // Package standin holds stand-ins for the systems that nutmegpier works with:
 // groups of database servers that speak PostgreSQL protocol 3, and the
 // platform's table, object store and instance list. All run inside the
-// process, for tests, demos and measurements, and have switchable faults.
+// process, for tests, demos and measurements, and can simulate faults.
 package standin
 
 import "fmt"
@@ -19,7 +19,7 @@
 	KindNoPrimary Kind = "NoPrimary"
 	// KindNotPromised means that the term is not promised to the holder.
 	KindNotPromised Kind = "NotPromised"
-	// KindOptions means that an option has no valid value.
+	// KindOptions means that an option has an invalid value.
 	KindOptions Kind = "Options"
 	// KindStatement means that a statement failed.
 	KindStatement Kind = "Statement"
@@ -48,7 +48,7 @@
 	return e.Err
 }
 
-// sqlError is an error that is sent to the client of a server.
+// sqlError is an error with a SQLSTATE code that a server sends to its client.
 type sqlError struct {
 	code    string
 	message string
--- a/standin/extended.go
+++ b/standin/extended.go
@@ -6,7 +6,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// preparedStatement is a statement that a client prepared.
+// preparedStatement is a statement that a client prepared. Its columns are valid
+// if described is true.
 type preparedStatement struct {
 	columns    []column
 	described  bool
@@ -14,19 +15,20 @@
 	statement  *statement
 }
 
-// portal is a statement with bound parameters, and its result once it ran.
+// portal is a prepared statement with bound parameters, and its result after the
+// first Execute.
 type portal struct {
 	args     []any
 	formats  []int16
 	prepared *preparedStatement
-	// rows are the rows not yet sent.
+	// rows are the rows that were not sent yet.
 	rows [][]any
-	// set is nil until the portal ran.
-	set *rowSet
+	// set is the result, or nil before the first Execute.
+	set *resultSet
 }
 
-// extended handles a message of the extended protocol.
-func (c *session) extended(message pgproto3.FrontendMessage) error {
+// handleExtended handles a message of the extended query protocol.
+func (c *session) handleExtended(message pgproto3.FrontendMessage) error {
 	switch m := message.(type) {
 	case *pgproto3.Bind:
 		return c.bind(m)
@@ -51,7 +53,7 @@
 		return newSQLError("42P05", "prepared statement %q already exists", m.Name)
 	}
 	s := parseStatement(m.Query)
-	parameters, err := c.parameterTypes(s, m.ParameterOIDs)
+	parameters, err := c.inferParameterTypes(s, m.ParameterOIDs)
 	if err != nil {
 		return err
 	}
@@ -113,7 +115,7 @@
 		c.backend.Send(&pgproto3.NoData{})
 		return nil
 	}
-	if err := c.describe(p); err != nil {
+	if err := c.ensureDescribed(p); err != nil {
 		return err
 	}
 	c.backend.Send(rowDescription(p.columns, formats))
@@ -133,7 +135,7 @@
 	if p.set == nil {
 		set, err := c.run(s, p.args)
 		if errors.Is(err, errRolledBack) {
-			c.sendTag("ROLLBACK")
+			c.sendCommandComplete("ROLLBACK")
 			return nil
 		}
 		if err != nil {
@@ -144,18 +146,19 @@
 	return c.sendPortal(p, int(m.MaxRows))
 }
 
-// sendPortal sends the next rows of a portal, all when limit is zero.
+// sendPortal sends at most limit of the remaining rows of a portal, or all if
+// limit is zero.
 func (c *session) sendPortal(p *portal, limit int) error {
 	s := p.prepared.statement
 	if !s.returnsRows() {
-		c.sendTag(s.tag(p.set.affected))
+		c.sendCommandComplete(s.tag(p.set.affected))
 		return nil
 	}
 	columns := p.set.columns
 	if p.prepared.described && len(p.prepared.columns) == len(columns) {
 		columns = p.prepared.columns
 	} else {
-		p.set.settleTypes(guessType)
+		p.set.resolveTypes(defaultColumnType)
 	}
 	batch := p.rows
 	if limit > 0 && limit < len(batch) {
@@ -169,6 +172,6 @@
 		c.backend.Send(&pgproto3.PortalSuspended{})
 		return nil
 	}
-	c.sendTag(s.tag(int64(len(batch))))
+	c.sendCommandComplete(s.tag(int64(len(batch))))
 	return nil
 }
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -8,9 +8,9 @@
 	"github.com/nutmegpier/nutmegpier/group"
 )
 
-// Crash ends all connections at once and takes none until Restart. Open
-// transactions are rolled back. The listener stays open, so that the address
-// is not given to another process; connections to it are reset.
+// Crash simulates a crash: it resets all connections and accepts none until
+// Restart. Open transactions are rolled back. The listener stays open, so that
+// no other process can take the address; new connections are reset.
 func (s *Server) Crash() {
 	s.group.mu.Lock()
 	s.running = false
@@ -21,18 +21,18 @@
 	s.closeSessions(func(*session) bool { return true })
 }
 
-// Restart starts a crashed server again. With keepLog its log, role and
-// promise are as before. Without, it starts as an empty replica that gives no
-// promise until it caught up with a primary.
+// Restart restarts a crashed server. With keepLog, its log, role and promise are
+// as before. Otherwise it starts as an empty replica that grants no promise until
+// it has caught up with a primary.
 func (s *Server) Restart(keepLog bool) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	s.running = true
-	s.contact = time.Now()
+	s.lastContact = time.Now()
 	if !keepLog {
 		s.applied = 0
 		s.log = nil
-		s.lost = true
+		s.logLost = true
 		s.rebuild = true
 		s.role = group.RoleReplica
 		s.term = 0
@@ -40,8 +40,9 @@
 	s.broadcast()
 }
 
-// Pause stops the server or lets it go on. A paused server accepts TCP
-// connections, answers nothing and replicates nothing.
+// SetPaused pauses or resumes the server. A paused server accepts TCP
+// connections, but answers no request and neither sends, receives nor applies log
+// entries.
 func (s *Server) SetPaused(paused bool) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
@@ -49,12 +50,13 @@
 	s.broadcast()
 }
 
-// BlockClients cuts the server off from the clients whose application name
-// starts with one of the prefixes. Their requests wait until the cut is
-// healed, by a call without a prefix.
+// BlockClients simulates a network partition between the server and the clients
+// whose application name starts with one of the prefixes. Their requests wait
+// until they are unblocked. Each call replaces the prefixes; a call without any
+// unblocks all clients.
 func (s *Server) BlockClients(prefixes ...string) {
 	s.sessionsMu.Lock()
-	s.cutClients = func(name string) bool {
+	s.blocksClient = func(name string) bool {
 		for _, p := range prefixes {
 			if strings.HasPrefix(name, p) {
 				return true
@@ -68,15 +70,16 @@
 	s.group.mu.Unlock()
 }
 
-// DropCommitResponses closes the connection instead of answering, after the
-// next n commits took effect.
+// DropCommitResponses makes the server reset the connection instead of sending
+// the response to each of the next n commits. The commits still take effect.
 func (s *Server) DropCommitResponses(n int) {
 	s.sessionsMu.Lock()
 	defer s.sessionsMu.Unlock()
-	s.loseCommits = n
+	s.commitResponsesToDrop = n
 }
 
-// SetApplyLag sets the time between receipt and application of an entry.
+// SetApplyLag sets the time between the receipt of a log entry and its
+// application on this server.
 func (s *Server) SetApplyLag(lag time.Duration) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
@@ -84,29 +87,31 @@
 	s.broadcast()
 }
 
-// SetStatementDelay makes each statement take longer. It holds its slot meanwhile.
+// SetStatementDelay sets a delay that is added to each statement. The statement
+// occupies its slot during the delay.
 func (s *Server) SetStatementDelay(delay time.Duration) {
 	s.sessionsMu.Lock()
 	defer s.sessionsMu.Unlock()
 	s.delay = delay
 }
 
-// takeLostCommit reports whether the answer to a commit is to be lost.
-func (s *Server) takeLostCommit() bool {
+// consumeCommitDrop reports whether the response to a commit is to be dropped, and
+// counts it.
+func (s *Server) consumeCommitDrop() bool {
 	s.sessionsMu.Lock()
 	defer s.sessionsMu.Unlock()
-	if s.loseCommits == 0 {
+	if s.commitResponsesToDrop == 0 {
 		return false
 	}
-	s.loseCommits--
+	s.commitResponsesToDrop--
 	return true
 }
 
-// isCut reports whether the server is cut off from a client.
-func (s *Server) isCut(applicationName string) bool {
+// isClientBlocked reports whether BlockClients applies to a client.
+func (s *Server) isClientBlocked(applicationName string) bool {
 	s.sessionsMu.Lock()
 	defer s.sessionsMu.Unlock()
-	return s.cutClients != nil && s.cutClients(applicationName)
+	return s.blocksClient != nil && s.blocksClient(applicationName)
 }
 
 func (s *Server) statementDelay() time.Duration {
@@ -115,26 +120,28 @@
 	return s.delay
 }
 
-// closeSessions closes the connections of the chosen sessions.
-func (s *Server) closeSessions(chosen func(*session) bool) {
+// closeSessions resets the connections of the sessions for which matches returns
+// true.
+func (s *Server) closeSessions(matches func(*session) bool) {
 	s.sessionsMu.Lock()
 	defer s.sessionsMu.Unlock()
 	for _, c := range s.sessions {
-		if chosen(c) {
-			c.cancelAll()
-			reset(c.conn)
+		if matches(c) {
+			c.cancelContext()
+			resetConn(c.conn)
 		}
 	}
 }
 
-// DisconnectClients closes the connections whose application name starts with
+// DisconnectClients resets the connections whose application name starts with
 // the prefix.
 func (s *Server) DisconnectClients(prefix string) {
 	s.closeSessions(func(c *session) bool { return strings.HasPrefix(c.applicationName(), prefix) })
 }
 
-// IsolateServer cuts a server off from the other servers and from the clients
-// with one of the prefixes.
+// IsolateServer simulates a network partition between a server on one side, and
+// on the other side the other servers and the clients whose application name
+// starts with one of the prefixes.
 func (g *Group) IsolateServer(id fleet.ServerID, prefixes ...string) {
 	g.PartitionServer(id, true)
 	if s := g.Server(id); s != nil {
--- a/standin/group.go
+++ b/standin/group.go
@@ -11,7 +11,7 @@
 	"github.com/nutmegpier/nutmegpier/group"
 )
 
-// firstTerm is the term of the first server when a group starts.
+// firstTerm is the term in which a group starts.
 const firstTerm fleet.Term = 1
 
 // Group is a group of stand-in database servers with replication. The first
@@ -23,23 +23,24 @@
 	servers []*Server
 	wg      sync.WaitGroup
 
-	// mu guards the replication state of all servers. It is never held while
-	// a statement runs. An engine's lock is taken before it, never after.
+	// mu guards the replication state of all servers. It is never held while a
+	// statement runs. Lock order: a goroutine that needs both mu and an engine's
+	// lock acquires the engine's lock first.
 	mu sync.Mutex
-	// cut holds the pairs of servers that cannot reach each other.
-	cut map[link]bool
+	// partitioned holds the links that a simulated network partition interrupts.
+	partitioned map[link]bool
 }
 
-// link is the path from one server to another.
+// link is the replication link from one server to another.
 type link struct{ from, to fleet.ServerID }
 
 // NewGroup starts the servers of a group. Close stops them.
 func NewGroup(options Options) (*Group, error) {
-	if err := options.check(); err != nil {
+	if err := options.setDefaultsAndValidate(); err != nil {
 		return nil, &Error{Err: err, Kind: KindOptions, Op: "new group"}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &Group{cancel: cancel, ctx: ctx, cut: make(map[link]bool), options: options}
+	g := &Group{cancel: cancel, ctx: ctx, partitioned: make(map[link]bool), options: options}
 	for i := range options.Servers {
 		s, err := g.newServer(i)
 		if err != nil {
@@ -53,7 +54,8 @@
 	return g, nil
 }
 
-// newServer opens the listener and the engine of the server with an index.
+// newServer creates the server with the given index, with its listener and its
+// engine.
 func (g *Group) newServer(index int) (*Server, error) {
 	id := fleet.ServerID(fmt.Sprintf("%s-%d", g.options.ID, index+1))
 	listener, err := g.listener(index)
@@ -67,22 +69,22 @@
 	}
 	now := time.Now()
 	return &Server{
-		applied:  1,
-		applyLag: g.options.ApplyLag,
-		changed:  make(chan struct{}),
-		contact:  now,
-		engine:   e,
-		group:    g,
-		id:       id,
-		listener: listener,
-		log:      []logged{{entry: &entry{term: firstTerm}, at: now}},
-		promise:  Promise{Term: firstTerm},
-		open:     make(map[*transaction]struct{}),
-		role:     group.RoleReplica,
-		running:  true,
-		sessions: make(map[uint32]*session),
-		slots:    make(chan struct{}, g.options.Slots),
-		term:     firstTerm,
+		applied:          1,
+		applyLag:         g.options.ApplyLag,
+		changed:          make(chan struct{}),
+		lastContact:      now,
+		engine:           e,
+		group:            g,
+		id:               id,
+		listener:         listener,
+		log:              []storedEntry{{entry: &entry{term: firstTerm}, storedAt: now}},
+		promise:          Promise{Term: firstTerm},
+		openTransactions: make(map[*transaction]struct{}),
+		role:             group.RoleReplica,
+		running:          true,
+		sessions:         make(map[uint32]*session),
+		slots:            make(chan struct{}, g.options.Slots),
+		term:             firstTerm,
 	}, nil
 }
 
@@ -93,10 +95,11 @@
 	return net.Listen("tcp", "127.0.0.1:0")
 }
 
-// start starts the listeners, the replication links and the apply loops.
+// start starts accepting connections, replication and the application of
+// entries.
 func (g *Group) start() {
 	for _, s := range g.servers {
-		g.wg.Go(s.accept)
+		g.wg.Go(s.acceptConnections)
 		g.wg.Go(s.applyLoop)
 		for _, to := range g.servers {
 			if to != s {
@@ -121,22 +124,23 @@
 	}
 }
 
-// PartitionServer cuts a server off from the other servers of the group, or heals
-// the cut. Clients still reach it: a primary that is cut off takes writes.
-func (g *Group) PartitionServer(id fleet.ServerID, cut bool) {
+// PartitionServer starts or ends a simulated network partition between a server
+// and the other servers of the group. Clients still reach the server, and a
+// partitioned primary still accepts writes.
+func (g *Group) PartitionServer(id fleet.ServerID, partitioned bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.servers {
 		if s.id != id {
-			g.cut[link{id, s.id}] = cut
-			g.cut[link{s.id, id}] = cut
+			g.partitioned[link{id, s.id}] = partitioned
+			g.partitioned[link{s.id, id}] = partitioned
 		}
 		s.broadcast()
 	}
 }
 
-// Exec runs statements on the primary and waits until each running server
-// that the primary reaches has applied them.
+// Exec runs statements on the primary and waits until each server to which the
+// primary can replicate has applied them.
 func (g *Group) Exec(ctx context.Context, sql string) error {
 	primary := g.Primary()
 	if primary == nil {
@@ -181,7 +185,7 @@
 	return append([]*Server(nil), g.servers...)
 }
 
-// WaitApplied waits until each running server that the primary reaches has
+// WaitApplied waits until each server to which the primary can replicate has
 // applied the primary's log.
 func (g *Group) WaitApplied(ctx context.Context) error {
 	primary := g.Primary()
@@ -193,7 +197,7 @@
 	g.mu.Unlock()
 	for _, s := range g.servers {
 		reached := func() bool {
-			return !g.linked(primary, s) || s.appliedCovers(target)
+			return !g.canReplicate(primary, s) || s.appliedCovers(target)
 		}
 		if err := s.waitFor(ctx, reached); err != nil {
 			return &Error{Err: err, Kind: KindStatement, Op: "wait applied"}
@@ -202,9 +206,9 @@
 	return nil
 }
 
-// linked reports whether replication from one server reaches the other. The
-// caller holds the group's lock.
-func (g *Group) linked(from, to *Server) bool {
+// canReplicate reports whether both servers are running, not paused and not
+// separated by a partition. The caller holds the group's lock.
+func (g *Group) canReplicate(from, to *Server) bool {
 	up := from.running && to.running && !from.paused && !to.paused
-	return up && (from == to || !g.cut[link{from.id, to.id}])
+	return up && (from == to || !g.partitioned[link{from.id, to.id}])
 }
--- a/standin/group_test.go
+++ b/standin/group_test.go
@@ -14,12 +14,12 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-const simple = pgx.QueryExecModeSimpleProtocol
+const simpleMode = pgx.QueryExecModeSimpleProtocol
 
-// forever is a lag that never ends inside a test.
-const forever = time.Hour
+// longerThanTest is a lag or a timeout that does not end during a test.
+const longerThanTest = time.Hour
 
-func names(t *testing.T, conn *pgx.Conn) []string {
+func queryNames(t *testing.T, conn *pgx.Conn) []string {
 	t.Helper()
 	result, err := conn.Query(testContext(t), "SELECT name FROM tabs ORDER BY name")
 	if err != nil {
@@ -32,7 +32,7 @@
 	return got
 }
 
-func load(t *testing.T, g *standin.Group, sql string) {
+func execOnPrimary(t *testing.T, g *standin.Group, sql string) {
 	t.Helper()
 	if err := g.Exec(testContext(t), sql); err != nil {
 		t.Fatal(err)
@@ -52,20 +52,20 @@
 	}
 }
 
-// TestReplicaLag guards against a replica that shows entries before its lag
-// has passed, and against a received log that waits for the application.
+// TestReplicaLag guards against a replica that shows entries before its apply lag
+// has passed, and against an apply lag that delays the receipt of entries.
 func TestReplicaLag(t *testing.T) {
 	g := newGroup(t, standin.Options{})
-	load(t, g, schema)
+	execOnPrimary(t, g, schema)
 	primary, replica := g.Servers()[0], g.Servers()[1]
-	replica.SetApplyLag(forever)
-	exec(t, connect(t, primary, "client", simple), "INSERT INTO tabs (name) VALUES ('A-Z')")
+	replica.SetApplyLag(longerThanTest)
+	exec(t, connect(t, primary, "client", simpleMode), "INSERT INTO tabs (name) VALUES ('A-Z')")
 	status := replica.Wait(testContext(t), fleet.Position{Log: 3, Term: 1})
 	if diff := cmp.Diff([]fleet.Position{{Log: 3, Term: 1}, {Log: 2, Term: 1}}, []fleet.Position{status.Log, status.Applied}); diff != "" {
 		t.Errorf("log end and applied position (-want +got):\n%s", diff)
 	}
-	reader := connect(t, replica, "client", simple)
-	if diff := cmp.Diff(0, len(names(t, reader))); diff != "" {
+	reader := connect(t, replica, "client", simpleMode)
+	if diff := cmp.Diff(0, len(queryNames(t, reader))); diff != "" {
 		t.Errorf("rows of the lagging replica (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff("1/2", reader.PgConn().ParameterStatus("group_position")); diff != "" {
@@ -75,31 +75,31 @@
 	if err := g.WaitApplied(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]string{"A-Z"}, names(t, reader)); diff != "" {
+	if diff := cmp.Diff([]string{"A-Z"}, queryNames(t, reader)); diff != "" {
 		t.Errorf("rows of the replica (-want +got):\n%s", diff)
 	}
 	_, err := reader.Exec(testContext(t), "DELETE FROM tabs")
-	if diff := cmp.Diff("25006", code(err)); diff != "" {
+	if diff := cmp.Diff("25006", sqlState(err)); diff != "" {
 		t.Errorf("code of a write on a replica (-want +got):\n%s", diff)
 	}
 }
 
-// TestDivergentLogIsTruncated guards against writes of a primary that was cut
-// off staying in its data after it follows the next primary.
+// TestDivergentLogIsTruncated guards against writes of a partitioned primary that
+// stay in its data after it follows the next primary.
 func TestDivergentLogIsTruncated(t *testing.T) {
 	g := newGroup(t, standin.Options{})
-	load(t, g, schema)
+	execOnPrimary(t, g, schema)
 	old, next, third := g.Servers()[0], g.Servers()[1], g.Servers()[2]
 	g.PartitionServer(old.ID(), true)
-	conn := connect(t, old, "client", simple)
+	conn := connect(t, old, "client", simpleMode)
 	exec(t, conn, "INSERT INTO tabs (name) VALUES ('lost 1')")
 	exec(t, conn, "INSERT INTO tabs (name) VALUES ('lost 2')")
 	promote(t, 2, next, third)
-	exec(t, connect(t, next, "client", simple), "INSERT INTO tabs (name) VALUES ('kept')")
+	exec(t, connect(t, next, "client", simpleMode), "INSERT INTO tabs (name) VALUES ('kept')")
 	if diff := cmp.Diff(group.RolePrimary, old.Status().Role); diff != "" {
 		t.Errorf("role of the old primary (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff([]string{"lost 1", "lost 2"}, names(t, conn)); diff != "" {
+	if diff := cmp.Diff([]string{"lost 1", "lost 2"}, queryNames(t, conn)); diff != "" {
 		t.Errorf("rows of the old primary (-want +got):\n%s", diff)
 	}
 	g.PartitionServer(old.ID(), false)
@@ -108,7 +108,7 @@
 	}
 	want := fleet.History{{First: 1, Term: 1}, {First: 3, Term: 2}}
 	for _, s := range g.Servers() {
-		if diff := cmp.Diff([]string{"kept"}, names(t, connect(t, s, "client", simple))); diff != "" {
+		if diff := cmp.Diff([]string{"kept"}, queryNames(t, connect(t, s, "client", simpleMode))); diff != "" {
 			t.Errorf("rows of %s (-want +got):\n%s", s.ID(), diff)
 		}
 		if diff := cmp.Diff(want, s.Status().History); diff != "" {
@@ -121,31 +121,31 @@
 }
 
 // TestFenceAbortsAfterDrain guards against a write that is committed after the
-// promise, and against new writes during the drain.
+// promise, and against new writes that are accepted during the drain.
 func TestFenceAbortsAfterDrain(t *testing.T) {
 	g := newGroup(t, standin.Options{})
-	load(t, g, schema)
+	execOnPrimary(t, g, schema)
 	primary := g.Servers()[0]
-	conn, other := connect(t, primary, "client", simple), connect(t, primary, "client", simple)
+	conn, other := connect(t, primary, "client", simpleMode), connect(t, primary, "client", simpleMode)
 	ctx := testContext(t)
 	exec(t, conn, "BEGIN")
 	exec(t, conn, "INSERT INTO tabs (name) VALUES ('drained')")
 	granted := make(chan bool)
 	go func() {
-		ok, _ := primary.Fence(ctx, 2, "a", forever)
+		ok, _ := primary.Fence(ctx, 2, "a", longerThanTest)
 		granted <- ok
 	}()
-	// The refusal shows that the drain has begun. Until then the write waits
-	// for the open one, which ends only below.
+	// The refusal shows that the drain has begun. Before that, the write waits for the
+	// open transaction, which is committed only below.
 	_, err := other.Exec(ctx, "INSERT INTO tabs (name) VALUES ('refused')")
-	if diff := cmp.Diff("25006", code(err)); diff != "" {
+	if diff := cmp.Diff("25006", sqlState(err)); diff != "" {
 		t.Errorf("code of a write during the drain (-want +got):\n%s", diff)
 	}
 	exec(t, conn, "COMMIT")
 	if diff := cmp.Diff(true, <-granted); diff != "" {
 		t.Errorf("granted (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff([]string{"drained"}, names(t, conn)); diff != "" {
+	if diff := cmp.Diff([]string{"drained"}, queryNames(t, conn)); diff != "" {
 		t.Errorf("rows (-want +got):\n%s", diff)
 	}
 	promote(t, 3, primary)
@@ -153,7 +153,7 @@
 	exec(t, conn, "INSERT INTO tabs (name) VALUES ('aborted')")
 	primary.Fence(ctx, 4, "b", 0)
 	_, err = conn.Exec(ctx, "COMMIT")
-	if diff := cmp.Diff("40001", code(err)); diff != "" {
+	if diff := cmp.Diff("40001", sqlState(err)); diff != "" {
 		t.Errorf("code of a commit after the promise (-want +got):\n%s", diff)
 	}
 	if _, err := primary.Promote(4, "a"); err == nil {
@@ -161,13 +161,13 @@
 	}
 }
 
-// TestRestart guards against a crash that keeps open transactions, and
-// against a server without its log that votes before it caught up.
+// TestRestart guards against open transactions that survive a crash, and against a
+// server that lost its log and grants a promise before it has caught up.
 func TestRestart(t *testing.T) {
 	g := newGroup(t, standin.Options{})
-	load(t, g, schema)
+	execOnPrimary(t, g, schema)
 	primary, replica := g.Servers()[0], g.Servers()[1]
-	conn := connect(t, primary, "client", simple)
+	conn := connect(t, primary, "client", simpleMode)
 	exec(t, conn, "BEGIN")
 	exec(t, conn, "INSERT INTO tabs (name) VALUES ('open')")
 	primary.Crash()
@@ -177,14 +177,14 @@
 	replica.Crash()
 	replica.Restart(false)
 	if granted, _ := replica.Fence(testContext(t), 2, "a", 0); granted {
-		t.Error("a server without its log gave a promise")
+		t.Error("a server without its log granted a promise")
 	}
 	primary.Restart(true)
-	exec(t, connect(t, primary, "client", simple), "INSERT INTO tabs (name) VALUES ('after')")
+	exec(t, connect(t, primary, "client", simpleMode), "INSERT INTO tabs (name) VALUES ('after')")
 	if err := g.WaitApplied(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]string{"after"}, names(t, connect(t, replica, "client", simple))); diff != "" {
+	if diff := cmp.Diff([]string{"after"}, queryNames(t, connect(t, replica, "client", simpleMode))); diff != "" {
 		t.Errorf("rows of the replica (-want +got):\n%s", diff)
 	}
 	if granted, status := replica.Fence(testContext(t), 2, "a", 0); !granted {
@@ -193,17 +193,17 @@
 }
 
 // TestDroppedCommitResponse guards against a stand-in that loses the change
-// together with the answer.
+// together with the response to the commit.
 func TestDroppedCommitResponse(t *testing.T) {
 	g := newGroup(t, standin.Options{})
-	load(t, g, schema)
+	execOnPrimary(t, g, schema)
 	primary := g.Servers()[0]
 	primary.DropCommitResponses(1)
-	_, err := connect(t, primary, "client", simple).Exec(testContext(t), "INSERT INTO tabs (name) VALUES ('A-Z')")
-	if err == nil || code(err) != "" {
+	_, err := connect(t, primary, "client", simpleMode).Exec(testContext(t), "INSERT INTO tabs (name) VALUES ('A-Z')")
+	if err == nil || sqlState(err) != "" {
 		t.Errorf("Exec() error = %v, want a broken connection", err)
 	}
-	if diff := cmp.Diff([]string{"A-Z"}, names(t, connect(t, primary, "client", simple))); diff != "" {
+	if diff := cmp.Diff([]string{"A-Z"}, queryNames(t, connect(t, primary, "client", simpleMode))); diff != "" {
 		t.Errorf("rows (-want +got):\n%s", diff)
 	}
 }
@@ -213,7 +213,7 @@
 func TestCancelAndLimit(t *testing.T) {
 	g := newGroup(t, standin.Options{ConnectionLimit: 1})
 	primary := g.Servers()[0]
-	conn := connect(t, primary, "client", simple)
+	conn := connect(t, primary, "client", simpleMode)
 	ctx := testContext(t)
 	canceled := make(chan error)
 	go func() {
@@ -228,72 +228,72 @@
 		select {
 		case err := <-canceled:
 			done = true
-			if diff := cmp.Diff("57014", code(err)); diff != "" {
+			if diff := cmp.Diff("57014", sqlState(err)); diff != "" {
 				t.Errorf("code of a canceled statement (-want +got):\n%s", diff)
 			}
 		default:
 		}
 	}
 	_, err := pgx.Connect(ctx, fmt.Sprintf("postgres://proxy@%s/orders?sslmode=disable", primary.Addr()))
-	if diff := cmp.Diff("53300", code(err)); diff != "" {
+	if diff := cmp.Diff("53300", sqlState(err)); diff != "" {
 		t.Errorf("code of a connection beyond the limit (-want +got):\n%s", diff)
 	}
-	connect(t, primary, standin.ControlApplicationName, simple)
+	connect(t, primary, standin.ControlApplicationName, simpleMode)
 }
 
 // TestAuthentication guards against a wrong password that is accepted.
 func TestAuthentication(t *testing.T) {
-	for _, way := range []standin.Authentication{standin.AuthenticationCleartext, standin.AuthenticationSCRAM} {
-		t.Run(string(way), func(t *testing.T) {
-			g := newGroup(t, standin.Options{Authentication: way, Password: "secret", User: "proxy"})
-			connect(t, g.Servers()[0], "client", simple)
+	for _, method := range []standin.Authentication{standin.AuthenticationCleartext, standin.AuthenticationSCRAM} {
+		t.Run(string(method), func(t *testing.T) {
+			g := newGroup(t, standin.Options{Authentication: method, Password: "secret", User: "proxy"})
+			connect(t, g.Servers()[0], "client", simpleMode)
 			_, err := pgx.Connect(context.Background(), fmt.Sprintf("postgres://proxy:wrong@%s/orders?sslmode=disable", g.Servers()[0].Addr()))
-			if diff := cmp.Diff("28P01", code(err)); diff != "" {
+			if diff := cmp.Diff("28P01", sqlState(err)); diff != "" {
 				t.Errorf("code of a wrong password (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestPauseAndBlockClients guards against answers of a server that is paused or cut off
-// from a client, and against requests that are lost when the fault ends.
+// TestPauseAndBlockClients guards against responses of a server that is paused or
+// blocked from the client, and against requests that are lost when the fault ends.
 func TestPauseAndBlockClients(t *testing.T) {
 	g := newGroup(t, standin.Options{})
-	load(t, g, schema)
+	execOnPrimary(t, g, schema)
 	primary := g.Servers()[0]
-	cut, other := connect(t, primary, "proxy-1", simple), connect(t, primary, "proxy-2", simple)
-	answered := make(chan error, 1)
-	ask := func(conn *pgx.Conn) {
+	blocked, other := connect(t, primary, "proxy-1", simpleMode), connect(t, primary, "proxy-2", simpleMode)
+	responses := make(chan error, 1)
+	sendQuery := func(conn *pgx.Conn) {
 		_, err := conn.Exec(context.Background(), "SELECT 1")
-		answered <- err
+		responses <- err
 	}
 	primary.BlockClients("proxy-1")
-	go ask(cut)
+	go sendQuery(blocked)
 	exec(t, other, "SELECT 1")
-	expectSilence(t, answered)
+	expectNoResponse(t, responses)
 	primary.BlockClients()
-	expectAnswer(t, answered)
+	expectResponse(t, responses)
 
 	primary.SetPaused(true)
-	go ask(other)
-	exec(t, connect(t, g.Servers()[1], "client", simple), "SELECT 1")
-	expectSilence(t, answered)
+	go sendQuery(other)
+	exec(t, connect(t, g.Servers()[1], "client", simpleMode), "SELECT 1")
+	expectNoResponse(t, responses)
 	primary.SetPaused(false)
-	expectAnswer(t, answered)
+	expectResponse(t, responses)
 }
 
-func expectSilence(t *testing.T, answered <-chan error) {
+func expectNoResponse(t *testing.T, responses <-chan error) {
 	t.Helper()
 	select {
-	case err := <-answered:
-		t.Errorf("a server that cannot be reached answered: %v", err)
+	case err := <-responses:
+		t.Errorf("an unreachable server responded: %v", err)
 	default:
 	}
 }
 
-func expectAnswer(t *testing.T, answered <-chan error) {
+func expectResponse(t *testing.T, responses <-chan error) {
 	t.Helper()
-	if err := <-answered; err != nil {
+	if err := <-responses; err != nil {
 		t.Errorf("request after the fault: %v", err)
 	}
 }
--- a/standin/options.go
+++ b/standin/options.go
@@ -9,22 +9,22 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Authentication is the way in which a server checks the password.
+// Authentication is the password authentication method of the servers.
 type Authentication string
 
-// Ways of authentication.
+// Authentication methods.
 const (
-	// AuthenticationCleartext asks for the password itself.
+	// AuthenticationCleartext requests the password in clear text.
 	AuthenticationCleartext Authentication = "Cleartext"
-	// AuthenticationSCRAM asks for SCRAM-SHA-256.
+	// AuthenticationSCRAM uses SCRAM-SHA-256.
 	AuthenticationSCRAM Authentication = "SCRAM"
-	// AuthenticationTrust asks for nothing.
+	// AuthenticationTrust accepts each user without a password.
 	AuthenticationTrust Authentication = "Trust"
 )
 
 // Default values of Options.
 const (
-	defaultConnectionCost  = 10 * time.Millisecond
+	defaultConnectDelay    = 10 * time.Millisecond
 	defaultConnectionLimit = 20
 	defaultReceiveDelay    = time.Millisecond
 	defaultServers         = 3
@@ -33,39 +33,43 @@
 
 // Options are the settings of a group.
 type Options struct {
-	// ApplyLag is the time between receipt and application of an entry on a replica.
+	// ApplyLag is the time between the receipt of a log entry by a replica and its
+	// application.
 	ApplyLag time.Duration
-	// Authentication is Trust when empty.
+	// Authentication is the authentication method. The default is Trust.
 	Authentication Authentication
-	// ConnectDelay is the time that each start-up of a connection takes.
+	// ConnectDelay is a delay that is added to the start-up of each connection.
 	ConnectDelay time.Duration
-	// ConnectionLimit is the largest number of session connections of one
-	// server. Zero means 20.
+	// ConnectionLimit is the largest number of connections to one server. Control
+	// connections are not counted. The default is 20.
 	ConnectionLimit int
-	// ID names the group. It is "orders" when empty.
+	// ID is the id of the group. The default is "orders".
 	ID fleet.GroupID
-	// Listeners are used instead of new loopback listeners, one a server.
+	// Listeners are the listeners of the servers, one per server. If there are
+	// none, each server opens a loopback listener.
 	Listeners []net.Listener
-	// Password is the password for Cleartext and SCRAM.
+	// Password is the accepted password for Cleartext and SCRAM.
 	Password string
-	// ReceiveDelay is the time between a commit and its receipt by a replica.
+	// ReceiveDelay is the time between a commit and the receipt of its log entry by
+	// a replica.
 	ReceiveDelay time.Duration
-	// Servers is the number of servers. Zero means 3.
+	// Servers is the number of servers. The default is 3.
 	Servers int
-	// Slots is the number of statements that one server runs at once. Zero means 3.
+	// Slots is the largest number of statements that one server runs at the same
+	// time. Control connections take no slot. The default is 3.
 	Slots int
 	// User is the accepted user name for Cleartext and SCRAM.
 	User string
 }
 
-// DefaultOptions returns options with the usual delays of the deployments:
-// 10 ms to open a connection and 1 ms from server to server.
+// DefaultOptions returns options with delays that are typical of a deployment:
+// 10 ms to open a connection and 1 ms for replication to another server.
 func DefaultOptions() Options {
-	return Options{ConnectDelay: defaultConnectionCost, ReceiveDelay: defaultReceiveDelay}
+	return Options{ConnectDelay: defaultConnectDelay, ReceiveDelay: defaultReceiveDelay}
 }
 
-// check fills in defaults and reports values that cannot be used.
-func (o *Options) check() error {
+// setDefaultsAndValidate sets defaults and returns an error for invalid values.
+func (o *Options) setDefaultsAndValidate() error {
 	if o.Authentication == "" {
 		o.Authentication = AuthenticationTrust
 	}
@@ -84,13 +88,13 @@
 	switch o.Authentication {
 	case AuthenticationCleartext, AuthenticationSCRAM, AuthenticationTrust:
 	default:
-		return fmt.Errorf("unknown authentication %q", o.Authentication)
+		return fmt.Errorf("unknown authentication method %q", o.Authentication)
 	}
 	if o.Servers < 0 || o.Slots < 0 || o.ConnectionLimit < 0 {
-		return errors.New("a count is negative")
+		return errors.New("the numbers of servers and slots and the connection limit must not be negative")
 	}
 	if len(o.Listeners) != 0 && len(o.Listeners) != o.Servers {
-		return fmt.Errorf("%d listeners for %d servers", len(o.Listeners), o.Servers)
+		return fmt.Errorf("got %d listeners for %d servers, want one per server", len(o.Listeners), o.Servers)
 	}
 	return nil
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -19,46 +19,47 @@
 	"github.com/nutmegpier/nutmegpier/metastore"
 )
 
-// Outage is the way in which the table and the objects are unavailable.
+// Outage is a kind of simulated outage of a platform service.
 type Outage string
 
-// Outages.
+// Kinds of outages.
 const (
 	// OutageFail fails calls at once.
 	OutageFail Outage = "Fail"
-	// OutageHang answers no call before the caller's deadline.
+	// OutageHang blocks calls until the outage or the caller's deadline ends.
 	OutageHang Outage = "Hang"
-	// OutageNone is normal service.
+	// OutageNone means normal operation.
 	OutageNone Outage = "None"
 )
 
-// CallCounts counts the calls that reached the platform. Calls during an
-// outage count too.
+// CallCounts holds the numbers of calls that the platform received, including
+// calls during an outage.
 type CallCounts struct {
 	Lists  int
 	Reads  int
 	Writes int
 }
 
-// Platform is the stand-in for the platform: table, object store and list of
-// instances. It is an http.Handler for PlatformService. Outages and delays
-// concern the table and the objects; the list has its own lag and outage.
+// Platform is the stand-in for the platform: its table, its object store and its
+// list of instances. It is an http.Handler for PlatformService. SetOutage,
+// SetDelay and DropResponses affect the table and the objects; FreezeInstances and
+// SetListOutage affect the list of instances.
 type Platform struct {
 	handler http.Handler
 
 	// mu guards the fields below.
-	mu          sync.Mutex
-	changed     chan struct{}
-	counts      CallCounts
-	delay       time.Duration
-	frozen      []metastore.Instance
-	instances   map[fleet.InstanceID]metastore.Instance
-	isFrozen    bool
-	listOutage  Outage
-	loseAnswers int
-	objects     map[string][]byte
-	outage      Outage
-	rows        map[string]metastore.Row
+	mu              sync.Mutex
+	changed         chan struct{}
+	counts          CallCounts
+	delay           time.Duration
+	frozen          []metastore.Instance
+	instances       map[fleet.InstanceID]metastore.Instance
+	isFrozen        bool
+	listOutage      Outage
+	responsesToDrop int
+	objects         map[string][]byte
+	outage          Outage
+	rows            map[string]metastore.Row
 }
 
 var _ nutmegpierv1connect.PlatformServiceHandler = &Platform{}
@@ -83,7 +84,7 @@
 }
 
 // Listen serves the platform on a new loopback listener. It returns the base
-// URL and a function that stops serving.
+// URL and a function that stops the server.
 func (p *Platform) Listen() (baseURL string, stop func(), err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,7 +92,7 @@
 	}
 	server := &http.Server{Handler: p, ReadHeaderTimeout: time.Minute}
 	var wg sync.WaitGroup
-	// Serve ends with an error only when stop closes the server.
+	// The error is ignored: Serve fails only when stop closes the server.
 	wg.Go(func() { _ = server.Serve(listener) })
 	return "http://" + listener.Addr().String(), func() {
 		server.Close()
@@ -99,7 +100,7 @@
 	}, nil
 }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of calls so far.
 func (p *Platform) Counts() CallCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,21 +121,23 @@
 	delete(p.instances, id)
 }
 
-// FreezeInstances makes the list lag: while frozen, it is reported as it was.
+// FreezeInstances simulates a stale list of instances: while it is frozen,
+// ListInstances returns the list as of this call.
 func (p *Platform) FreezeInstances(frozen bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.frozen, p.isFrozen = p.sortedInstances(), frozen
 }
 
-// DropResponses fails the next n writes after they took effect.
+// DropResponses simulates lost responses: the next n writes take effect, but
+// return an error.
 func (p *Platform) DropResponses(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.loseAnswers = n
+	p.responsesToDrop = n
 }
 
-// SetDelay makes each call to the table and the objects take longer.
+// SetDelay sets a delay that is added to each call to the table and the objects.
 func (p *Platform) SetDelay(delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,10 +152,10 @@
 	p.broadcast()
 }
 
-// SetOutage starts or ends an outage of the table and the objects. A hanging
-// call goes on when the outage ends before the deadline that came with the
-// call. That deadline counts from the receipt, so a hanging write can take
-// effect although its caller has just given up.
+// SetOutage starts or ends an outage of the table and the objects. A hanging call
+// continues if the outage ends before the call's deadline. The server measures
+// that deadline from the receipt of the call, so a hanging write can take effect
+// shortly after its caller has timed out.
 func (p *Platform) SetOutage(outage Outage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,14 +163,17 @@
 	p.broadcast()
 }
 
-// broadcast wakes hanging calls. The caller holds mu.
+// broadcast wakes hanging calls, which then check the outage again. The caller
+// holds mu.
 func (p *Platform) broadcast() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// enter waits for the delay and for the end of a hanging outage.
-func (p *Platform) enter(ctx context.Context, outage *Outage) error {
+// applyFaults simulates the faults of a service: it waits for the delay and for
+// the end of a hanging outage, and returns an error during a failing outage. The
+// delay does not apply to the list of instances.
+func (p *Platform) applyFaults(ctx context.Context, outage *Outage) error {
 	p.mu.Lock()
 	delay := p.delay
 	p.mu.Unlock()
@@ -201,8 +207,8 @@
 	}
 }
 
-// count counts a call.
-func (p *Platform) count(counter *int) {
+// countCall increments a counter of calls.
+func (p *Platform) countCall(counter *int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	*counter++
@@ -210,8 +216,8 @@
 
 // GetObject returns one object.
 func (p *Platform) GetObject(ctx context.Context, req *connect.Request[nutmegpierv1.GetObjectRequest]) (*connect.Response[nutmegpierv1.GetObjectResponse], error) {
-	p.count(&p.counts.Reads)
-	if err := p.enter(ctx, &p.outage); err != nil {
+	p.countCall(&p.counts.Reads)
+	if err := p.applyFaults(ctx, &p.outage); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -220,10 +226,10 @@
 	return connect.NewResponse(&nutmegpierv1.GetObjectResponse{Content: content, Found: found}), nil
 }
 
-// ListInstances returns the list of instances, as it was when it is frozen.
+// ListInstances returns the list of instances, or its frozen copy.
 func (p *Platform) ListInstances(ctx context.Context, _ *connect.Request[nutmegpierv1.ListInstancesRequest]) (*connect.Response[nutmegpierv1.ListInstancesResponse], error) {
-	p.count(&p.counts.Lists)
-	if err := p.enter(ctx, &p.listOutage); err != nil {
+	p.countCall(&p.counts.Lists)
+	if err := p.applyFaults(ctx, &p.listOutage); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -244,7 +250,8 @@
 	return connect.NewResponse(res), nil
 }
 
-// sortedInstances returns the instances by id. The caller holds mu.
+// sortedInstances returns the instances in the order of their ids. The caller
+// holds mu.
 func (p *Platform) sortedInstances() []metastore.Instance {
 	var instances []metastore.Instance
 	for _, id := range slices.Sorted(maps.Keys(p.instances)) {
@@ -255,32 +262,33 @@
 
 // PutObject stores one object.
 func (p *Platform) PutObject(ctx context.Context, req *connect.Request[nutmegpierv1.PutObjectRequest]) (*connect.Response[nutmegpierv1.PutObjectResponse], error) {
-	p.count(&p.counts.Writes)
-	if err := p.enter(ctx, &p.outage); err != nil {
+	p.countCall(&p.counts.Writes)
+	if err := p.applyFaults(ctx, &p.outage); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.objects[req.Msg.GetName()] = slices.Clone(req.Msg.GetContent())
-	if err := p.takeLostAnswer(); err != nil {
+	if err := p.consumeResponseDrop(); err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&nutmegpierv1.PutObjectResponse{}), nil
 }
 
-// takeLostAnswer returns an error if the answer is to be lost. The caller holds mu.
-func (p *Platform) takeLostAnswer() error {
-	if p.loseAnswers == 0 {
+// consumeResponseDrop returns an error if the response to a write is to be
+// dropped, and counts it. The caller holds mu.
+func (p *Platform) consumeResponseDrop() error {
+	if p.responsesToDrop == 0 {
 		return nil
 	}
-	p.loseAnswers--
+	p.responsesToDrop--
 	return connect.NewError(connect.CodeUnavailable, errors.New("the answer was lost"))
 }
 
 // ReadRows reads rows of the table.
 func (p *Platform) ReadRows(ctx context.Context, req *connect.Request[nutmegpierv1.ReadRowsRequest]) (*connect.Response[nutmegpierv1.ReadRowsResponse], error) {
-	p.count(&p.counts.Reads)
-	if err := p.enter(ctx, &p.outage); err != nil {
+	p.countCall(&p.counts.Reads)
+	if err := p.applyFaults(ctx, &p.outage); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -303,8 +311,8 @@
 
 // WriteRows writes all rows if all conditions hold, and none otherwise.
 func (p *Platform) WriteRows(ctx context.Context, req *connect.Request[nutmegpierv1.WriteRowsRequest]) (*connect.Response[nutmegpierv1.WriteRowsResponse], error) {
-	p.count(&p.counts.Writes)
-	if err := p.enter(ctx, &p.outage); err != nil {
+	p.countCall(&p.counts.Writes)
+	if err := p.applyFaults(ctx, &p.outage); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -318,21 +326,21 @@
 	for _, row := range req.Msg.GetRows() {
 		keys[row.GetKey()] = true
 		if applied {
-			p.write(row)
+			p.writeRow(row)
 		}
 	}
 	res := &nutmegpierv1.WriteRowsResponse{Applied: applied}
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
 		res.Rows = append(res.Rows, p.rowMessage(key))
 	}
-	if err := p.takeLostAnswer(); err != nil {
+	if err := p.consumeResponseDrop(); err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(res), nil
 }
 
-// write stores a row. The caller holds mu.
-func (p *Platform) write(row *nutmegpierv1.Row) {
+// writeRow stores a row with an incremented revision. The caller holds mu.
+func (p *Platform) writeRow(row *nutmegpierv1.Row) {
 	p.rows[row.GetKey()] = metastore.Row{
 		Key:      row.GetKey(),
 		Revision: p.rows[row.GetKey()].Revision + 1,
--- a/standin/promise_test.go
+++ b/standin/promise_test.go
@@ -9,8 +9,8 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-// TestPromiseRules guards against a term that is granted to two holders, a
-// promise that falls, and a repeated request that is refused.
+// TestPromiseRules guards against a term that is granted to two holders, a promise
+// that goes back to a lower term, and a repeated request that is refused.
 func TestPromiseRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var promise standin.Promise
@@ -31,30 +31,30 @@
 				if accepted && !known {
 					holders[newTerm] = leader
 				}
-				promise = checkRise(t, promise, next)
+				promise = requireMonotonic(t, promise, next)
 			},
 			"Grant": func(t *rapid.T) {
-				newTerm, asker := term.Draw(t, "term"), holder.Draw(t, "holder")
-				next, granted := promise.Grant(newTerm, asker)
+				newTerm, requester := term.Draw(t, "term"), holder.Draw(t, "holder")
+				next, granted := promise.Grant(newTerm, requester)
 				if granted {
-					if other, known := holders[newTerm]; known && other != asker {
-						t.Fatalf("term %d granted to %s and %s", newTerm, other, asker)
+					if other, known := holders[newTerm]; known && other != requester {
+						t.Fatalf("term %d granted to %s and %s", newTerm, other, requester)
 					}
-					holders[newTerm] = asker
+					holders[newTerm] = requester
 				}
-				if granted != (newTerm > promise.Term || next == promise && promise.Allows(newTerm, asker)) {
-					t.Fatalf("Grant(%d, %s) = %v with promise %+v", newTerm, asker, granted, promise)
+				if granted != (newTerm > promise.Term || next == promise && promise.Allows(newTerm, requester)) {
+					t.Fatalf("Grant(%d, %s) = %v with promise %+v", newTerm, requester, granted, promise)
 				}
-				promise = checkRise(t, promise, next)
-				if _, again := promise.Grant(newTerm, asker); again != granted {
-					t.Fatalf("repeated Grant(%d, %s) = %v, want %v", newTerm, asker, again, granted)
+				promise = requireMonotonic(t, promise, next)
+				if _, again := promise.Grant(newTerm, requester); again != granted {
+					t.Fatalf("repeated Grant(%d, %s) = %v, want %v", newTerm, requester, again, granted)
 				}
 			},
 		})
 	})
 }
 
-func checkRise(t *rapid.T, before, after standin.Promise) standin.Promise {
+func requireMonotonic(t *rapid.T, before, after standin.Promise) standin.Promise {
 	if after.Term < before.Term || after.Term == before.Term && after != before {
 		t.Fatalf("promise went from %+v to %+v", before, after)
 	}
--- a/standin/protocol_test.go
+++ b/standin/protocol_test.go
@@ -13,13 +13,13 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-// TestCopy guards against data that COPY changes on the way in or out, and
-// against copied rows that are not replicated.
+// TestCopy guards against values that COPY changes on input or output, and against
+// copied rows that are not replicated.
 func TestCopy(t *testing.T) {
 	g := newGroup(t, standin.Options{})
-	load(t, g, schema)
+	execOnPrimary(t, g, schema)
 	ctx := testContext(t)
-	conn := connect(t, g.Servers()[0], "client", simple).PgConn()
+	conn := connect(t, g.Servers()[0], "client", simpleMode).PgConn()
 	data := "A-Z\t26\t1.5\tt\n1\\t31\t\\N\t2.25\tf\n"
 	tag, err := conn.CopyFrom(ctx, strings.NewReader(data), "COPY tabs (name, count, price, ready) FROM STDIN")
 	if err != nil {
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	replica := connect(t, g.Servers()[1], "client", simple).PgConn()
+	replica := connect(t, g.Servers()[1], "client", simpleMode).PgConn()
 	if _, err := replica.CopyTo(ctx, &out, "COPY (SELECT name, count, price, ready FROM tabs ORDER BY id) TO STDOUT"); err != nil {
 		t.Fatal(err)
 	}
@@ -40,17 +40,17 @@
 		t.Errorf("data (-want +got):\n%s", diff)
 	}
 	_, err = conn.CopyFrom(ctx, strings.NewReader("A-Z\t1\t1\tt\n"), "COPY tabs (name, count, price, ready) FROM STDIN")
-	if diff := cmp.Diff("23505", code(err)); diff != "" {
+	if diff := cmp.Diff("23505", sqlState(err)); diff != "" {
 		t.Errorf("code of a duplicate (-want +got):\n%s", diff)
 	}
 }
 
-// TestPortalRowLimit guards against portals that lose or repeat rows when a
-// client fetches them in parts, and against messages after an error that run.
+// TestPortalRowLimit guards against portals that lose or repeat rows when a client
+// fetches them in parts, and against messages that are not skipped after an error.
 func TestPortalRowLimit(t *testing.T) {
 	g := newGroup(t, standin.Options{})
-	load(t, g, schema+"; INSERT INTO tabs (name) VALUES ('a'), ('b'), ('c')")
-	conn := connect(t, g.Servers()[0], "client", simple)
+	execOnPrimary(t, g, schema+"; INSERT INTO tabs (name) VALUES ('a'), ('b'), ('c')")
+	conn := connect(t, g.Servers()[0], "client", simpleMode)
 	hijacked, err := conn.PgConn().Hijack()
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +96,7 @@
 // prepared statements that survive DISCARD ALL.
 func TestSessionState(t *testing.T) {
 	g := newGroup(t, standin.Options{})
-	conn := connect(t, g.Servers()[0], "client", simple)
+	conn := connect(t, g.Servers()[0], "client", simpleMode)
 	show := func(name string) string {
 		t.Helper()
 		var value string
@@ -118,23 +118,23 @@
 		t.Errorf("settings after DISCARD ALL (-want +got):\n%s", diff)
 	}
 	_, err := conn.PgConn().ExecPrepared(testContext(t), "s1", nil, nil, nil).Close()
-	if diff := cmp.Diff("26000", code(err)); diff != "" {
+	if diff := cmp.Diff("26000", sqlState(err)); diff != "" {
 		t.Errorf("code of a discarded statement (-want +got):\n%s", diff)
 	}
 }
 
-// TestTransactionStates guards against failed transactions that commit, and
-// against a simple query of several statements that is applied in part.
+// TestTransactionStates guards against failed transactions that are committed, and
+// against a simple query of several statements that takes effect only in part.
 func TestTransactionStates(t *testing.T) {
 	g := newGroup(t, standin.Options{})
-	load(t, g, schema)
-	conn := connect(t, g.Servers()[0], "client", simple)
+	execOnPrimary(t, g, schema)
+	conn := connect(t, g.Servers()[0], "client", simpleMode)
 	ctx := testContext(t)
 	run := func(sql string) string {
 		t.Helper()
 		results, err := conn.PgConn().Exec(ctx, sql).ReadAll()
 		if err != nil {
-			return code(err)
+			return sqlState(err)
 		}
 		return lastTag(results)
 	}
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	for _, s := range g.Servers() {
-		if diff := cmp.Diff([]string{"kept"}, names(t, connect(t, s, "client", pgx.QueryExecModeCacheStatement))); diff != "" {
+		if diff := cmp.Diff([]string{"kept"}, queryNames(t, connect(t, s, "client", pgx.QueryExecModeCacheStatement))); diff != "" {
 			t.Errorf("rows of %s (-want +got):\n%s", s.ID(), diff)
 		}
 	}
--- a/standin/replication.go
+++ b/standin/replication.go
@@ -7,15 +7,16 @@
 	"github.com/nutmegpier/nutmegpier/group"
 )
 
-// heartbeatInterval is the time between heartbeats of a primary.
+// heartbeatInterval is the time between the heartbeats that a primary sends to
+// its replicas.
 const heartbeatInterval = 50 * time.Millisecond
 
-// replicate sends the log of one server to another for as long as the group runs.
+// replicate sends the log of one server to another until the group is closed.
 func (g *Group) replicate(from, to *Server) {
 	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for g.ctx.Err() == nil {
-		next, changed := g.transfer(from, to, time.Now())
+		next, changed := g.sendDueEntries(from, to, time.Now())
 		timer.Reset(next)
 		select {
 		case <-changed:
@@ -25,12 +26,13 @@
 	}
 }
 
-// transfer moves the entries that are due. It returns the time until the next
-// entry or heartbeat is due, and the channel that reports a change of the sender.
-func (g *Group) transfer(from, to *Server, now time.Time) (time.Duration, <-chan struct{}) {
+// sendDueEntries copies the entries whose receive delay has passed to the
+// receiver's log. It returns the time until the next entry or heartbeat is due,
+// and the channel that is closed when the state of the sender changes.
+func (g *Group) sendDueEntries(from, to *Server, now time.Time) (time.Duration, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !from.sendsLog() || !g.linked(from, to) {
+	if !from.sendsLog() || !g.canReplicate(from, to) {
 		return heartbeatInterval, from.changed
 	}
 	if !to.follow(from, now) {
@@ -39,14 +41,14 @@
 	before := len(to.log)
 	next := heartbeatInterval
 	for _, e := range from.log[before:] {
-		if wait := e.at.Add(g.options.ReceiveDelay).Sub(now); wait > 0 {
+		if wait := e.storedAt.Add(g.options.ReceiveDelay).Sub(now); wait > 0 {
 			next = min(next, wait)
 			break
 		}
-		to.log = append(to.log, logged{entry: e.entry, at: now})
+		to.log = append(to.log, storedEntry{entry: e.entry, storedAt: now})
 	}
 	if len(to.log) == len(from.log) {
-		to.lost = false
+		to.logLost = false
 	}
 	if len(to.log) != before {
 		to.broadcast()
@@ -55,22 +57,22 @@
 }
 
 // sendsLog reports whether the server sends its log to the others. A fenced
-// primary goes on with what it has, so that a planned handover finds a replica
-// with the whole log.
+// primary keeps sending the entries it has, so that a replica can receive the
+// whole log before a planned handover.
 func (s *Server) sendsLog() bool {
 	return s.role == group.RolePrimary || s.role == group.RoleFenced
 }
 
-// follow makes the server a replica of a primary and cuts its log back to the
-// common part. It reports false when a promise forbids that. The caller holds
-// the group's lock.
+// follow makes the server a replica of a primary and truncates its log to the
+// common prefix. It returns false if the server has promised a higher term. The
+// caller holds the group's lock.
 func (s *Server) follow(primary *Server, now time.Time) bool {
 	promise, accepted := s.promise.Follow(primary.term, primary.promise.Holder)
 	if !accepted {
 		return false
 	}
 	s.promise = promise
-	s.contact = now
+	s.lastContact = now
 	if s.term == primary.term && s.role == group.RoleReplica {
 		return true
 	}
@@ -86,12 +88,12 @@
 	return true
 }
 
-// applyLoop applies received entries for as long as the group runs.
+// applyLoop applies received entries until the group is closed.
 func (s *Server) applyLoop() {
 	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for s.group.ctx.Err() == nil {
-		next, changed := s.applyDue(time.Now())
+		next, changed := s.applyDueEntries(time.Now())
 		timer.Reset(next)
 		select {
 		case <-changed:
@@ -101,14 +103,15 @@
 	}
 }
 
-// applyDue applies the entries whose lag has passed. It returns the time until
-// the next one is due, and the channel that reports a change of the server.
-func (s *Server) applyDue(now time.Time) (time.Duration, <-chan struct{}) {
+// applyDueEntries applies the entries whose apply lag has passed. It returns the
+// time until the next one is due, and the channel that is closed when the state
+// of the server changes.
+func (s *Server) applyDueEntries(now time.Time) (time.Duration, <-chan struct{}) {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
-	s.refresh()
+	s.rebuildIfNeeded()
 	for {
-		e, wait, changed := s.nextToApply(now)
+		e, wait, changed := s.nextDueEntry(now)
 		if e == nil {
 			return wait, changed
 		}
@@ -116,16 +119,16 @@
 	}
 }
 
-// nextToApply returns the next entry to apply, or nil and the time until there
-// may be one.
-func (s *Server) nextToApply(now time.Time) (*entry, time.Duration, <-chan struct{}) {
+// nextDueEntry returns the next entry to apply. If none is due, it returns nil and
+// the time after which to check again.
+func (s *Server) nextDueEntry(now time.Time) (*entry, time.Duration, <-chan struct{}) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	if s.applied >= len(s.log) || s.role == group.RolePrimary || s.paused || !s.running || s.rebuild {
 		return nil, heartbeatInterval, s.changed
 	}
 	e := s.log[s.applied]
-	if wait := e.at.Add(s.applyLag).Sub(now); wait > 0 {
+	if wait := e.storedAt.Add(s.applyLag).Sub(now); wait > 0 {
 		return nil, min(wait, heartbeatInterval), s.changed
 	}
 	return e.entry, 0, s.changed
@@ -137,7 +140,7 @@
 	err := s.engine.apply(e)
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	// The log may have been cut back meanwhile. Then the data is rebuilt.
+	// If the log was truncated in the meantime, the data has to be rebuilt.
 	if s.rebuild || err != nil {
 		s.rebuild = true
 		return
@@ -146,9 +149,9 @@
 	s.broadcast()
 }
 
-// refresh rebuilds the data after the log was cut back. The caller holds the
-// engine's lock.
-func (s *Server) refresh() {
+// rebuildIfNeeded rebuilds the data if it no longer matches the log. If that fails,
+// the next call tries again. The caller holds the engine's lock.
+func (s *Server) rebuildIfNeeded() {
 	s.group.mu.Lock()
 	needed := s.rebuild
 	log := s.log[:s.applied]
@@ -164,16 +167,16 @@
 	}
 }
 
-// applyAll applies the whole log at once, without lag.
+// applyAll applies the whole received log immediately, regardless of the apply lag.
 func (s *Server) applyAll() {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
-	s.applyRest()
+	s.applyAllLocked()
 }
 
-// applyRest applies the whole log at once. The caller holds the engine's lock.
-func (s *Server) applyRest() {
-	s.refresh()
+// applyAllLocked is applyAll for callers that hold the engine's lock.
+func (s *Server) applyAllLocked() {
+	s.rebuildIfNeeded()
 	for {
 		s.group.mu.Lock()
 		var e *entry
@@ -196,5 +199,5 @@
 // appliedCovers reports whether the applied part of the log contains the
 // position. The caller holds the group's lock.
 func (s *Server) appliedCovers(p fleet.Position) bool {
-	return int(p.Log) <= s.applied && historyOf(s.log[:s.applied]).Contains(p)
+	return int(p.Log) <= s.applied && termHistory(s.log[:s.applied]).Contains(p)
 }
--- a/standin/run.go
+++ b/standin/run.go
@@ -14,21 +14,22 @@
 )
 
 var (
-	backendPIDPattern = regexp.MustCompile(`(?i)\bpg_backend_pid\(\)`)
-	settingPattern    = regexp.MustCompile(`(?i)\bcurrent_setting\(\s*'([^']*)'\s*(?:,\s*(?:true|false)\s*)?\)`)
-	sleepPattern      = regexp.MustCompile(`(?i)\bpg_sleep\(\s*([\d.]+|\$\d+)[^)]*\)`)
-	tempPattern       = regexp.MustCompile(`(?i)^create\s+(temp|temporary)\b`)
-	versionPattern    = regexp.MustCompile(`(?i)\b(pg_catalog\.)?version\(\)`)
+	backendPIDPattern     = regexp.MustCompile(`(?i)\bpg_backend_pid\(\)`)
+	currentSettingPattern = regexp.MustCompile(`(?i)\bcurrent_setting\(\s*'([^']*)'\s*(?:,\s*(?:true|false)\s*)?\)`)
+	sleepPattern          = regexp.MustCompile(`(?i)\bpg_sleep\(\s*([\d.]+|\$\d+)[^)]*\)`)
+	tempPattern           = regexp.MustCompile(`(?i)^create\s+(temp|temporary)\b`)
+	versionPattern        = regexp.MustCompile(`(?i)\b(pg_catalog\.)?version\(\)`)
 )
 
-// query is a statement that is ready for the engine.
+// query is a statement in SQLite's dialect. sleep is the total time of its
+// pg_sleep calls, which the engine does not run.
 type query struct {
 	sleep time.Duration
 	sql   string
 }
 
-// run runs one statement. The result is complete in memory.
-func (c *session) run(s *statement, args []any) (*rowSet, error) {
+// run runs one statement and returns its whole result.
+func (c *session) run(s *statement, args []any) (*resultSet, error) {
 	if c.tx != nil && c.tx.failed && s.class != classRollback && s.class != classCommit && !isRollbackTo(s) {
 		return nil, newSQLError(codeFailedTransaction, "current transaction is aborted, commands ignored until end of transaction block")
 	}
@@ -60,15 +61,15 @@
 	case classWrite:
 		return c.runWrite(ctx, s, args)
 	}
-	return &rowSet{}, nil
+	return &resultSet{}, nil
 }
 
-// prepareQuery replaces what depends on the session and rewrites the rest for
-// the engine.
+// prepareQuery replaces calls of functions that SQLite does not have by their
+// values, and rewrites the statement to SQLite's dialect.
 func (c *session) prepareQuery(s *statement, args []any) query {
 	var q query
-	text := settingPattern.ReplaceAllStringFunc(s.text, func(call string) string {
-		return quote(c.setting(settingPattern.FindStringSubmatch(call)[1]))
+	text := currentSettingPattern.ReplaceAllStringFunc(s.text, func(call string) string {
+		return quote(c.setting(currentSettingPattern.FindStringSubmatch(call)[1]))
 	})
 	text = sleepPattern.ReplaceAllStringFunc(text, func(call string) string {
 		q.sleep += sleepTime(sleepPattern.FindStringSubmatch(call)[1], args)
@@ -80,7 +81,8 @@
 	return q
 }
 
-// sleepTime returns the argument of pg_sleep, a number or a parameter.
+// sleepTime returns the duration for the argument of pg_sleep, which is a number
+// or a parameter. An invalid argument gives zero.
 func sleepTime(text string, args []any) time.Duration {
 	if number, isParameter := strings.CutPrefix(text, "$"); isParameter {
 		i, err := strconv.Atoi(number)
@@ -100,8 +102,9 @@
 	return "'" + strings.ReplaceAll(text, "'", "''") + "'"
 }
 
-// occupySlot waits for a slot and then for the statement's own time.
-func (c *session) occupySlot(ctx context.Context, own time.Duration) (release func(), err error) {
+// acquireSlot waits for a free statement slot, and then sleeps for the execution
+// time and the server's statement delay. Control connections do neither.
+func (c *session) acquireSlot(ctx context.Context, executionTime time.Duration) (release func(), err error) {
 	if c.control {
 		return func() {}, nil
 	}
@@ -111,16 +114,16 @@
 		return nil, newSQLError(codeQueryCanceled, "canceling statement due to user request")
 	}
 	release = func() { <-c.server.slots }
-	if err := c.sleep(ctx, own+c.server.statementDelay()); err != nil {
+	if err := c.sleep(ctx, executionTime+c.server.statementDelay()); err != nil {
 		release()
 		return nil, err
 	}
 	return release, nil
 }
 
-func (c *session) runRead(ctx context.Context, s *statement, args []any) (*rowSet, error) {
+func (c *session) runRead(ctx context.Context, s *statement, args []any) (*resultSet, error) {
 	q := c.prepareQuery(s, args)
-	release, err := c.occupySlot(ctx, q.sleep)
+	release, err := c.acquireSlot(ctx, q.sleep)
 	if err != nil {
 		return nil, err
 	}
@@ -128,18 +131,19 @@
 	return c.read(q.sql, args)
 }
 
-// read runs a query on the committed data, or on that of the session's own
-// write transaction.
-func (c *session) read(sql string, args []any) (*rowSet, error) {
+// read runs a query on the committed data, or on the working copy if the session
+// has an open write transaction. On a server that is not the primary, it sets the
+// session's position to the applied position.
+func (c *session) read(sql string, args []any) (*resultSet, error) {
 	s := c.server
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
-	s.refresh()
+	s.rebuildIfNeeded()
 	if c.tx != nil && c.tx.writing {
-		if !s.isWriter(c.tx) || s.engine.owner != c.tx {
-			return nil, errAborted()
+		if !s.isWriter(c.tx) || s.engine.writeTx != c.tx {
+			return nil, newAbortedError()
 		}
-		return s.engine.work.run(sql, args, true)
+		return s.engine.working.run(sql, args, true)
 	}
 	s.group.mu.Lock()
 	position, role := positionAt(s.log, s.applied), s.role
@@ -151,11 +155,11 @@
 	return set, err
 }
 
-func errAborted() error {
+func newAbortedError() error {
 	return newSQLError(codeReadOnly, "the transaction was aborted because the server is no longer the primary")
 }
 
-func (c *session) runWrite(ctx context.Context, s *statement, args []any) (*rowSet, error) {
+func (c *session) runWrite(ctx context.Context, s *statement, args []any) (*resultSet, error) {
 	if tempPattern.MatchString(s.text) {
 		return nil, newSQLError(codeFeatureUnsupported, "temporary tables are not supported")
 	}
@@ -163,7 +167,7 @@
 		return nil, err
 	}
 	q := c.prepareQuery(s, args)
-	release, err := c.occupySlot(ctx, q.sleep)
+	release, err := c.acquireSlot(ctx, q.sleep)
 	if err != nil {
 		return nil, err
 	}
@@ -171,8 +175,8 @@
 	return c.write(q.sql, args, s.returnsRows(), !s.locking)
 }
 
-// startWriting starts an implicit transaction if there is none, and makes it
-// the server's writer.
+// startWriting starts an implicit transaction if none is open, and makes the
+// session's transaction the server's writer.
 func (c *session) startWriting(ctx context.Context) error {
 	if c.tx == nil {
 		c.tx = &transaction{}
@@ -183,15 +187,16 @@
 	return c.server.startWriting(ctx, c.tx)
 }
 
-// write runs a statement inside the write transaction and records it for the log.
-func (c *session) write(sql string, args []any, returnsRows, record bool) (*rowSet, error) {
+// write runs a statement in the write transaction. With record, the statement
+// becomes part of the transaction's log entry.
+func (c *session) write(sql string, args []any, returnsRows, record bool) (*resultSet, error) {
 	s := c.server
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
-	if !s.isWriter(c.tx) || s.engine.owner != c.tx {
-		return nil, errAborted()
+	if !s.isWriter(c.tx) || s.engine.writeTx != c.tx {
+		return nil, newAbortedError()
 	}
-	set, err := s.engine.work.run(sql, args, returnsRows)
+	set, err := s.engine.working.run(sql, args, returnsRows)
 	if err != nil {
 		return nil, err
 	}
@@ -201,7 +206,7 @@
 	return set, nil
 }
 
-func (c *session) runBegin(s *statement) (*rowSet, error) {
+func (c *session) runBegin(s *statement) (*resultSet, error) {
 	tx := c.tx
 	if tx == nil {
 		tx = &transaction{}
@@ -209,27 +214,27 @@
 	upper := strings.ToUpper(s.text)
 	tx.readOnly = strings.Contains(upper, "READ ONLY") || c.setting("default_transaction_read_only") == "on"
 	if !tx.readOnly && !tx.explicit {
-		if err := c.server.beginTransaction(tx); err != nil {
+		if err := c.server.registerTransaction(tx); err != nil {
 			return nil, err
 		}
 	}
 	tx.explicit = true
 	c.tx = tx
-	return &rowSet{}, nil
+	return &resultSet{}, nil
 }
 
-// errRolledBack marks a COMMIT that ended a failed transaction. It is not an
-// error for the client; only the command tag differs.
+// errRolledBack means that a COMMIT rolled back a failed transaction. The client
+// gets no error, but the command tag ROLLBACK.
 var errRolledBack = errors.New("rolled back")
 
-func (c *session) runCommit() (*rowSet, error) {
+func (c *session) runCommit() (*resultSet, error) {
 	if c.tx != nil && c.tx.failed {
 		if _, err := c.runRollback(); err != nil {
 			return nil, err
 		}
 		return nil, errRolledBack
 	}
-	return &rowSet{}, c.commit()
+	return &resultSet{}, c.commit()
 }
 
 // commit commits the open transaction, if there is one.
@@ -242,7 +247,7 @@
 		return errClosed
 	}
 	c.tx = nil
-	defer c.server.endTransaction(tx)
+	defer c.server.unregisterTransaction(tx)
 	position, err := c.server.commit(tx)
 	if err != nil {
 		return err
@@ -251,25 +256,25 @@
 		return nil
 	}
 	c.position = position
-	if c.conn != nil && c.server.takeLostCommit() {
-		reset(c.conn)
+	if c.conn != nil && c.server.consumeCommitDrop() {
+		resetConn(c.conn)
 		return errClosed
 	}
 	return nil
 }
 
-func (c *session) runRollback() (*rowSet, error) {
+func (c *session) runRollback() (*resultSet, error) {
 	tx := c.tx
 	c.tx = nil
 	if tx == nil {
-		return &rowSet{}, nil
+		return &resultSet{}, nil
 	}
-	defer c.server.endTransaction(tx)
-	return &rowSet{}, c.server.rollback(tx)
+	defer c.server.unregisterTransaction(tx)
+	return &resultSet{}, c.server.rollback(tx)
 }
 
-// endImplicit commits or rolls back an implicit transaction.
-func (c *session) endImplicit() error {
+// endImplicitTransaction commits or rolls back an implicit transaction.
+func (c *session) endImplicitTransaction() error {
 	switch {
 	case c.tx == nil || c.tx.explicit:
 		return nil
@@ -284,14 +289,14 @@
 	return s.class == classSavepoint && s.keyword == "ROLLBACK"
 }
 
-func (c *session) runSavepoint(s *statement) (*rowSet, error) {
+func (c *session) runSavepoint(s *statement) (*resultSet, error) {
 	if c.tx == nil || !c.tx.explicit {
 		return nil, newSQLError(codeActiveTransaction, "%s can only be used in transaction blocks", s.keyword)
 	}
 	if !c.tx.writing {
-		c.tx.pending = append(c.tx.pending, s.text)
+		c.tx.pendingSavepoints = append(c.tx.pendingSavepoints, s.text)
 		c.tx.failed = false
-		return &rowSet{}, nil
+		return &resultSet{}, nil
 	}
 	set, err := c.write(s.text, nil, false, true)
 	if err == nil {
--- a/standin/safety_test.go
+++ b/standin/safety_test.go
@@ -16,27 +16,27 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-// groupModel drives a group through faults and promotions, and remembers the
-// writes that a majority of the servers had received.
+// groupModel runs faults, promotions and writes on a group, and records the writes
+// that a majority of the servers received.
 type groupModel struct {
-	ctx    context.Context
-	group  *standin.Group
-	kept   []string
-	lost   *standin.Server
-	next   int
-	term   fleet.Term
-	failed func(format string, args ...any)
+	ctx              context.Context
+	group            *standin.Group
+	confirmedWrites  []string
+	serverWithoutLog *standin.Server
+	lastRow          int
+	term             fleet.Term
+	fatalf           func(format string, args ...any)
 }
 
 // modelStep is one step of the model.
 type modelStep struct {
-	// Order picks the servers, the first for steps on one server.
+	// Order selects the servers. Steps on a single server use the first.
 	Order []int
 	Step  string
 }
 
-// modelRuns is the number of runs with fixed seeds. It keeps the test under a
-// few seconds with the race detector.
+// modelRuns is the number of runs, each with its own fixed seed. It is small enough
+// for the test to take only a few seconds with the race detector.
 const modelRuns = 30
 
 // TestConfirmedWritesSurvive guards against a stand-in group that loses a
@@ -60,8 +60,8 @@
 func runModel(t *testing.T, steps []modelStep) {
 	t.Helper()
 	g := newGroup(t, standin.Options{ReceiveDelay: 50 * time.Microsecond})
-	load(t, g, schema)
-	m := &groupModel{ctx: testContext(t), failed: t.Fatalf, group: g, term: 1}
+	execOnPrimary(t, g, schema)
+	m := &groupModel{ctx: testContext(t), fatalf: t.Fatalf, group: g, term: 1}
 	for _, step := range steps {
 		s, second := g.Servers()[step.Order[0]], g.Servers()[step.Order[1]]
 		switch step.Step {
@@ -73,29 +73,29 @@
 		case "Heal":
 			g.PartitionServer(s.ID(), false)
 		case "Lose":
-			m.lose(s)
+			m.restartWithoutLog(s)
 		case "Promote":
 			m.promote([]*standin.Server{s, second})
 		case "Write":
 			m.write(s)
 		}
 	}
-	m.check()
+	m.checkConverged()
 }
 
-// lose restarts a server without its log. At most one server may lack its log:
-// a group of three can lose acknowledged writes when two lose their logs.
-func (m *groupModel) lose(s *standin.Server) {
-	if m.lost != nil {
+// restartWithoutLog crashes a server and restarts it without its log. Only one
+// server may lose its log: a group of three can lose acknowledged writes if two do.
+func (m *groupModel) restartWithoutLog(s *standin.Server) {
+	if m.serverWithoutLog != nil {
 		return
 	}
-	m.lost = s
+	m.serverWithoutLog = s
 	s.Crash()
 	s.Restart(false)
 }
 
-// promote fences the servers, which are a majority, and promotes the one with
-// the longest log.
+// promote fences a majority of the servers and promotes the one whose log ends at
+// the highest position. It reports whether all servers granted the promise.
 func (m *groupModel) promote(majority []*standin.Server) bool {
 	m.term++
 	var best *standin.Server
@@ -110,27 +110,27 @@
 		}
 	}
 	if _, err := best.Promote(m.term, "a"); err != nil {
-		m.failed("promotion of %s: %v", best.ID(), err)
+		m.fatalf("promotion of %s: %v", best.ID(), err)
 	}
 	return true
 }
 
-// write inserts a row on a primary, and remembers it if a majority has
-// received it by now.
+// write inserts a row if the server is a primary, and records the row if a
+// majority received it.
 func (m *groupModel) write(s *standin.Server) {
 	if s.Status().Role != group.RolePrimary {
 		return
 	}
-	m.next++
-	name := fmt.Sprintf("row %03d", m.next)
+	m.lastRow++
+	name := fmt.Sprintf("row %03d", m.lastRow)
 	config, err := pgx.ParseConfig("postgres://proxy@" + s.Addr() + "/orders?sslmode=disable")
 	if err != nil {
-		m.failed("%v", err)
+		m.fatalf("%v", err)
 	}
-	config.DefaultQueryExecMode = simple
+	config.DefaultQueryExecMode = simpleMode
 	conn, err := pgx.ConnectConfig(m.ctx, config)
 	if err != nil {
-		m.failed("connect to %s: %v", s.ID(), err)
+		m.fatalf("connect to %s: %v", s.ID(), err)
 	}
 	defer conn.Close(m.ctx)
 	if _, err := conn.Exec(m.ctx, "INSERT INTO tabs (name) VALUES ($1)", name); err != nil {
@@ -138,15 +138,16 @@
 	}
 	position, err := fleet.ParsePosition(conn.PgConn().ParameterStatus("group_position"))
 	if err != nil {
-		m.failed("%v", err)
+		m.fatalf("%v", err)
 	}
-	if m.confirmed(position) {
-		m.kept = append(m.kept, name)
+	if m.isConfirmed(position) {
+		m.confirmedWrites = append(m.confirmedWrites, name)
 	}
 }
 
-// confirmed waits shortly for a second server to receive the position.
-func (m *groupModel) confirmed(p fleet.Position) bool {
+// isConfirmed waits for 5 ms at most and reports whether a majority, which is two
+// servers, received the position.
+func (m *groupModel) isConfirmed(p fleet.Position) bool {
 	ctx, cancel := context.WithTimeout(m.ctx, 5*time.Millisecond)
 	defer cancel()
 	count := 0
@@ -159,17 +160,18 @@
 	return count >= 2
 }
 
-// check heals the group and compares the rows of all servers.
-func (m *groupModel) check() {
+// checkConverged ends all partitions, promotes a primary, and checks that all
+// servers have the same rows and that no confirmed write is lost.
+func (m *groupModel) checkConverged() {
 	for _, s := range m.group.Servers() {
 		m.group.PartitionServer(s.ID(), false)
 	}
-	// The others are a majority, and they give promises.
-	if !m.promote(slices.DeleteFunc(m.group.Servers(), func(s *standin.Server) bool { return s == m.lost })) {
-		m.failed("a server that kept its log gave no promise")
+	// The servers that kept their logs are a majority and grant promises.
+	if !m.promote(slices.DeleteFunc(m.group.Servers(), func(s *standin.Server) bool { return s == m.serverWithoutLog })) {
+		m.fatalf("a server that kept its log granted no promise")
 	}
 	if err := m.group.WaitApplied(m.ctx); err != nil {
-		m.failed("%v", err)
+		m.fatalf("%v", err)
 	}
 	var first []string
 	for i, s := range m.group.Servers() {
@@ -178,12 +180,12 @@
 			first = rows
 		}
 		if diff := cmp.Diff(first, rows); diff != "" {
-			m.failed("rows of the first server and %s (-first +%s):\n%s", s.ID(), s.ID(), diff)
+			m.fatalf("rows of the first server and %s (-first +%s):\n%s", s.ID(), s.ID(), diff)
 		}
 	}
-	for _, name := range m.kept {
+	for _, name := range m.confirmedWrites {
 		if !slices.Contains(first, name) {
-			m.failed("confirmed write %q is lost; rows are %q", name, first)
+			m.fatalf("confirmed write %q is lost; rows are %q", name, first)
 		}
 	}
 }
@@ -191,16 +193,16 @@
 func (m *groupModel) rows(s *standin.Server) []string {
 	conn, err := pgx.Connect(m.ctx, "postgres://proxy@"+s.Addr()+"/orders?sslmode=disable")
 	if err != nil {
-		m.failed("connect to %s: %v", s.ID(), err)
+		m.fatalf("connect to %s: %v", s.ID(), err)
 	}
 	defer conn.Close(m.ctx)
 	result, err := conn.Query(m.ctx, "SELECT name FROM tabs ORDER BY name")
 	if err != nil {
-		m.failed("%v", err)
+		m.fatalf("%v", err)
 	}
 	rows, err := pgx.CollectRows(result, pgx.RowTo[string])
 	if err != nil {
-		m.failed("%v", err)
+		m.fatalf("%v", err)
 	}
 	return rows
 }
--- a/standin/session.go
+++ b/standin/session.go
@@ -14,18 +14,19 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// ControlApplicationName is the application name of control connections. They
-// take no slot and are not counted in the connection limit.
+// ControlApplicationName is the application name that marks control connections.
+// Their statements take no slot, and they do not count towards the connection
+// limit.
 const ControlApplicationName = "nutmegpier-control"
 
-// Settings that a session starts with.
+// Names of settings.
 const (
 	settingApplicationName = "application_name"
 	settingGroupPosition   = "group_position"
 )
 
-// startSettings are the values that a server reports at start-up.
-var startSettings = []pgproto3.ParameterStatus{
+// serverParameters are the parameters that a server reports at start-up.
+var serverParameters = []pgproto3.ParameterStatus{
 	{Name: "client_encoding", Value: "UTF8"},
 	{Name: "DateStyle", Value: "ISO, MDY"},
 	{Name: "integer_datetimes", Value: "on"},
@@ -37,55 +38,59 @@
 
 // session is one connection to a server.
 type session struct {
-	backend   *pgproto3.Backend
-	cancelAll context.CancelFunc
-	conn      net.Conn
-	control   bool
-	counted   bool
-	ctx       context.Context
-	pid       uint32
-	portals   map[string]*portal
-	// position is the newest position that a statement of the session gave.
+	backend       *pgproto3.Backend
+	cancelContext context.CancelFunc
+	conn          net.Conn
+	// control is true for a control connection.
+	control bool
+	// countedInLimit is true if the connection counts towards the limit.
+	countedInLimit bool
+	ctx            context.Context
+	pid            uint32
+	portals        map[string]*portal
+	// position is the log position of the session's latest commit, or the applied
+	// position at its latest read on a server that is not the primary.
 	position fleet.Position
 	prepared map[string]*preparedStatement
-	// reported is the position last sent to the client.
-	reported fleet.Position
-	secret   []byte
-	server   *Server
-	// startup are the settings of the start-up message, for RESET.
-	startup map[string]string
-	tx      *transaction
+	// reportedPosition is the position that was last sent to the client.
+	reportedPosition fleet.Position
+	secretKey        []byte
+	server           *Server
+	// startupParameters are the settings from the start-up message, which RESET
+	// restores.
+	startupParameters map[string]string
+	tx                *transaction
 
-	// mu guards the fields below, which other goroutines use.
+	// mu guards the fields below, which other goroutines access too.
 	mu              sync.Mutex
 	cancelStatement context.CancelFunc
 	settings        map[string]string
 }
 
-// errClosed ends a session without an error message.
+// errClosed ends a session without an error message to the client.
 var errClosed = errors.New("connection closed")
 
 func (s *Server) newSession(conn net.Conn) *session {
 	ctx, cancel := context.WithCancel(s.group.ctx)
 	c := &session{
-		cancelAll: cancel,
-		conn:      conn,
-		ctx:       ctx,
-		portals:   make(map[string]*portal),
-		prepared:  make(map[string]*preparedStatement),
-		server:    s,
-		settings:  make(map[string]string),
-		startup:   make(map[string]string),
+		cancelContext:     cancel,
+		conn:              conn,
+		ctx:               ctx,
+		portals:           make(map[string]*portal),
+		prepared:          make(map[string]*preparedStatement),
+		server:            s,
+		settings:          make(map[string]string),
+		startupParameters: make(map[string]string),
 	}
 	if conn != nil {
 		c.backend = pgproto3.NewBackend(conn, conn)
 	}
-	c.secret = make([]byte, 4)
-	rand.Read(c.secret)
+	c.secretKey = make([]byte, 4)
+	rand.Read(c.secretKey)
 	return c
 }
 
-// serve runs one connection.
+// serve handles one connection until it ends.
 func (s *Server) serve(conn net.Conn) {
 	c := s.newSession(conn)
 	s.register(c)
@@ -93,12 +98,12 @@
 	if !s.isRunning() || s.group.ctx.Err() != nil {
 		return
 	}
-	if err := c.start(); err != nil {
-		c.fail(err)
+	if err := c.openSession(); err != nil {
+		c.sendFatal(err)
 		return
 	}
-	if err := c.loop(); err != nil {
-		c.fail(err)
+	if err := c.serveMessages(); err != nil {
+		c.sendFatal(err)
 	}
 }
 
@@ -112,47 +117,50 @@
 
 func (s *Server) unregister(c *session) {
 	if c.tx != nil {
-		// The connection is gone, so there is no one to tell.
+		// The connection is closed, so the error cannot be reported.
 		_ = s.rollback(c.tx)
-		s.endTransaction(c.tx)
+		s.unregisterTransaction(c.tx)
 	}
-	c.cancelAll()
+	c.cancelContext()
 	c.conn.Close()
 	s.sessionsMu.Lock()
 	defer s.sessionsMu.Unlock()
 	delete(s.sessions, c.pid)
-	if c.counted {
+	if c.countedInLimit {
 		s.connections--
 	}
 }
 
-// count counts a session connection, if the limit allows it.
-func (s *Server) count(c *session) error {
+// reserveConnection counts a connection towards the limit, or refuses it if the
+// limit is reached.
+func (s *Server) reserveConnection(c *session) error {
 	s.sessionsMu.Lock()
 	defer s.sessionsMu.Unlock()
 	if s.connections >= s.group.options.ConnectionLimit {
 		return newSQLError(codeTooManyConnections, "sorry, too many clients already")
 	}
 	s.connections++
-	c.counted = true
+	c.countedInLimit = true
 	return nil
 }
 
-// fail sends a last error to the client, if there is one to send.
-func (c *session) fail(err error) {
+// sendFatal reports an error that ends the session to the client, if it has a
+// SQLSTATE code.
+func (c *session) sendFatal(err error) {
 	var sqlErr *sqlError
 	if !errors.As(err, &sqlErr) {
 		return
 	}
 	c.backend.Send(errorResponse("FATAL", sqlErr))
-	// The connection is closed next, so a failed write changes nothing.
+	// The error is ignored: the caller closes the connection in any case.
 	_ = c.backend.Flush()
 }
 
-// gate waits while the server is paused or cut off from the client.
-func (c *session) gate() error {
+// awaitReachable waits while the server is not running or is paused, or while the
+// client is blocked.
+func (c *session) awaitReachable() error {
 	err := c.server.waitFor(c.ctx, func() bool {
-		return c.server.running && !c.server.paused && !c.server.isCut(c.applicationName())
+		return c.server.running && !c.server.paused && !c.server.isClientBlocked(c.applicationName())
 	})
 	if err != nil {
 		return errClosed
@@ -160,24 +168,25 @@
 	return nil
 }
 
-// start reads the start-up message and authenticates the client.
-func (c *session) start() error {
+// openSession reads the start-up message, enforces the connection limit and
+// authenticates the client.
+func (c *session) openSession() error {
 	message, err := c.receiveStartup()
 	if err != nil {
 		return err
 	}
 	for name, value := range message.Parameters {
 		if name != "user" && name != "database" {
-			c.startup[name] = value
+			c.startupParameters[name] = value
 		}
 	}
 	c.resetSettings()
 	c.control = c.applicationName() == ControlApplicationName
-	if err := c.gate(); err != nil {
+	if err := c.awaitReachable(); err != nil {
 		return err
 	}
 	if !c.control {
-		if err := c.server.count(c); err != nil {
+		if err := c.server.reserveConnection(c); err != nil {
 			return err
 		}
 	}
@@ -187,17 +196,18 @@
 	if err := c.authenticate(message.Parameters["user"]); err != nil {
 		return err
 	}
-	return c.welcome()
+	return c.sendStartupResponse()
 }
 
-// receiveStartup answers encryption requests with no and handles cancel requests.
+// receiveStartup returns the start-up message. It declines encryption requests and
+// handles cancel requests.
 func (c *session) receiveStartup() (*pgproto3.StartupMessage, error) {
 	for {
 		message, err := c.backend.ReceiveStartupMessage()
 		if err != nil {
 			return nil, errClosed
 		}
-		if err := c.gate(); err != nil {
+		if err := c.awaitReachable(); err != nil {
 			return nil, err
 		}
 		switch m := message.(type) {
@@ -214,12 +224,13 @@
 	}
 }
 
-// cancelSession cancels the running statement of a session.
-func (s *Server) cancelSession(pid uint32, secret []byte) {
+// cancelSession cancels the running statement of a session if the secret key
+// matches.
+func (s *Server) cancelSession(pid uint32, secretKey []byte) {
 	s.sessionsMu.Lock()
 	c := s.sessions[pid]
 	s.sessionsMu.Unlock()
-	if c == nil || subtle.ConstantTimeCompare(c.secret, secret) != 1 {
+	if c == nil || subtle.ConstantTimeCompare(c.secretKey, secretKey) != 1 {
 		return
 	}
 	c.mu.Lock()
@@ -229,25 +240,26 @@
 	}
 }
 
-func (c *session) welcome() error {
+func (c *session) sendStartupResponse() error {
 	c.backend.Send(&pgproto3.AuthenticationOk{})
-	for i := range startSettings {
-		c.backend.Send(&startSettings[i])
+	for i := range serverParameters {
+		c.backend.Send(&serverParameters[i])
 	}
 	c.backend.Send(&pgproto3.ParameterStatus{Name: settingApplicationName, Value: c.applicationName()})
-	c.backend.Send(&pgproto3.BackendKeyData{ProcessID: c.pid, SecretKey: c.secret})
-	return c.ready()
+	c.backend.Send(&pgproto3.BackendKeyData{ProcessID: c.pid, SecretKey: c.secretKey})
+	return c.sendReady()
 }
 
-// loop handles messages until the client leaves.
-func (c *session) loop() error {
+// serveMessages handles messages until the client terminates the session. After
+// an error in the extended protocol it skips all messages up to the next Sync.
+func (c *session) serveMessages() error {
 	skipping := false
 	for {
 		message, err := c.backend.Receive()
 		if err != nil {
 			return errClosed
 		}
-		if err := c.gate(); err != nil {
+		if err := c.awaitReachable(); err != nil {
 			return err
 		}
 		if _, isSync := message.(*pgproto3.Sync); skipping && !isSync {
@@ -263,12 +275,12 @@
 		case *pgproto3.Query:
 			err = c.simpleQuery(m.String)
 		case *pgproto3.Sync:
-			err = c.sync()
+			err = c.handleSync()
 		case *pgproto3.Flush:
 			err = c.flush()
 		default:
 			var sqlErr *sqlError
-			err = c.extended(message)
+			err = c.handleExtended(message)
 			if errors.As(err, &sqlErr) {
 				c.sendError(sqlErr)
 				skipping, err = true, nil
@@ -280,9 +292,9 @@
 	}
 }
 
-// flush sends buffered messages, once the client can be reached.
+// flush sends the buffered messages as soon as the client is reachable.
 func (c *session) flush() error {
-	if err := c.gate(); err != nil {
+	if err := c.awaitReachable(); err != nil {
 		return err
 	}
 	if err := c.backend.Flush(); err != nil {
@@ -291,10 +303,11 @@
 	return nil
 }
 
-// ready ends a request: it reports a new position and the transaction status.
-func (c *session) ready() error {
-	if c.position != c.reported && !c.control {
-		c.reported = c.position
+// sendReady ends the response to a request: it reports the position if it has
+// changed, and the transaction status.
+func (c *session) sendReady() error {
+	if c.position != c.reportedPosition && !c.control {
+		c.reportedPosition = c.position
 		c.backend.Send(&pgproto3.ParameterStatus{Name: settingGroupPosition, Value: c.position.String()})
 	}
 	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.txStatus()})
@@ -328,9 +341,9 @@
 	}
 }
 
-// sync ends an extended query.
-func (c *session) sync() error {
-	if err := c.endImplicit(); err != nil {
+// handleSync handles a Sync message: it ends the implicit transaction.
+func (c *session) handleSync() error {
+	if err := c.endImplicitTransaction(); err != nil {
 		var sqlErr *sqlError
 		if !errors.As(err, &sqlErr) {
 			return err
@@ -340,10 +353,10 @@
 	if c.tx == nil {
 		clear(c.portals)
 	}
-	return c.ready()
+	return c.sendReady()
 }
 
-// statementContext returns a context that a cancel request ends.
+// statementContext returns a context that a cancel request cancels.
 func (c *session) statementContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	c.mu.Lock()
--- a/standin/setting.go
+++ b/standin/setting.go
@@ -15,7 +15,8 @@
 	showPattern  = regexp.MustCompile(`(?is)^show\s+(time\s+zone|transaction\s+isolation\s+level|[\w.]+)\s*$`)
 )
 
-// reportedSettings are settings whose changes are reported to the client.
+// reportedSettings maps the settings whose changes are reported to the client to
+// the names under which they are reported.
 var reportedSettings = map[string]string{settingApplicationName: settingApplicationName, "timezone": "TimeZone", "client_encoding": "client_encoding", "datestyle": "DateStyle"}
 
 func (c *session) applicationName() string {
@@ -38,22 +39,22 @@
 	}
 }
 
-// startSetting returns the value that a setting has after start-up.
-func (c *session) startSetting(name string) string {
-	for key, value := range c.startup {
+// initialSetting returns the value that a setting has after start-up.
+func (c *session) initialSetting(name string) string {
+	for key, value := range c.startupParameters {
 		if strings.EqualFold(key, name) {
 			return value
 		}
 	}
-	for i := range startSettings {
-		if strings.EqualFold(startSettings[i].Name, name) {
-			return startSettings[i].Value
+	for i := range serverParameters {
+		if strings.EqualFold(serverParameters[i].Name, name) {
+			return serverParameters[i].Value
 		}
 	}
 	return ""
 }
 
-// resetSettings gives all settings the values of the start-up.
+// resetSettings sets all settings to their values after start-up.
 func (c *session) resetSettings() {
 	values := map[string]string{
 		"default_transaction_read_only": "off",
@@ -62,10 +63,10 @@
 		"transaction_isolation":         "read committed",
 		settingApplicationName:          "",
 	}
-	for i := range startSettings {
-		values[strings.ToLower(startSettings[i].Name)] = startSettings[i].Value
+	for i := range serverParameters {
+		values[strings.ToLower(serverParameters[i].Name)] = serverParameters[i].Value
 	}
-	for name, value := range c.startup {
+	for name, value := range c.startupParameters {
 		values[strings.ToLower(name)] = value
 	}
 	c.mu.Lock()
@@ -73,13 +74,13 @@
 	c.settings = maps.Clone(values)
 }
 
-func (c *session) runSet(s *statement) (*rowSet, error) {
+func (c *session) runSet(s *statement) (*resultSet, error) {
 	upper := strings.ToUpper(s.text)
 	if strings.HasPrefix(upper, "SET TRANSACTION") || strings.HasPrefix(upper, "SET SESSION CHARACTERISTICS") {
 		if c.tx != nil && strings.Contains(upper, "READ ONLY") {
 			c.tx.readOnly = true
 		}
-		return &rowSet{}, nil
+		return &resultSet{}, nil
 	}
 	m := setPattern.FindStringSubmatch(s.text)
 	if m == nil {
@@ -87,13 +88,13 @@
 	}
 	name, value := settingName(m[1]), unquote(m[2])
 	if strings.EqualFold(m[2], "default") {
-		value = c.startSetting(name)
+		value = c.initialSetting(name)
 	}
 	c.setSetting(name, value)
-	return &rowSet{}, nil
+	return &resultSet{}, nil
 }
 
-func (c *session) runReset(s *statement) (*rowSet, error) {
+func (c *session) runReset(s *statement) (*resultSet, error) {
 	m := resetPattern.FindStringSubmatch(s.text)
 	if m == nil {
 		return nil, newSQLError(codeSyntax, "syntax error in RESET")
@@ -104,23 +105,23 @@
 		if c.applicationName() != before {
 			c.setSetting(settingApplicationName, c.applicationName())
 		}
-		return &rowSet{}, nil
+		return &resultSet{}, nil
 	}
-	c.setSetting(m[1], c.startSetting(m[1]))
-	return &rowSet{}, nil
+	c.setSetting(m[1], c.initialSetting(m[1]))
+	return &resultSet{}, nil
 }
 
-func (c *session) runDiscard(s *statement) (*rowSet, error) {
+func (c *session) runDiscard(s *statement) (*resultSet, error) {
 	if s.keyword == "DEALLOCATE" {
 		name := unquote(strings.TrimSpace(s.text[len("DEALLOCATE"):]))
 		if strings.EqualFold(name, "all") {
 			clear(c.prepared)
 		}
 		delete(c.prepared, name)
-		return &rowSet{}, nil
+		return &resultSet{}, nil
 	}
 	if !strings.EqualFold(strings.Join(strings.Fields(s.text), " "), "discard all") {
-		return &rowSet{}, nil
+		return &resultSet{}, nil
 	}
 	if c.tx != nil && c.tx.explicit {
 		return nil, newSQLError(codeActiveTransaction, "DISCARD ALL cannot run inside a transaction block")
@@ -130,7 +131,7 @@
 	return c.runReset(&statement{text: "RESET ALL"})
 }
 
-func (c *session) runShow(s *statement) (*rowSet, error) {
+func (c *session) runShow(s *statement) (*resultSet, error) {
 	m := showPattern.FindStringSubmatch(s.text)
 	if m == nil {
 		return nil, newSQLError(codeSyntax, "syntax error in SHOW")
@@ -148,7 +149,8 @@
 	return textRow([]string{name}, []string{value}), nil
 }
 
-// settingName returns the name of a setting for its forms with several words.
+// settingName returns the lower-case name of a setting, also for the aliases that
+// consist of several words.
 func settingName(text string) string {
 	switch name := strings.ToLower(strings.Join(strings.Fields(text), " ")); name {
 	case "time zone":
@@ -160,9 +162,9 @@
 	}
 }
 
-// textRow returns a result of one row of text columns.
-func textRow(names, values []string) *rowSet {
-	set := &rowSet{affected: 1, rows: [][]any{make([]any, len(values))}}
+// textRow returns a result with a single row of text columns.
+func textRow(names, values []string) *resultSet {
+	set := &resultSet{affected: 1, rows: [][]any{make([]any, len(values))}}
 	for i := range names {
 		set.columns = append(set.columns, column{name: names[i], oid: pgtype.TextOID})
 		set.rows[0][i] = values[i]
@@ -170,7 +172,7 @@
 	return set
 }
 
-// unquote removes the quotes of a literal.
+// unquote removes the quotes of a literal or a quoted name, if there are any.
 func unquote(text string) string {
 	if n := len(text); n >= 2 && (text[0] == '\'' || text[0] == '"') && text[n-1] == text[0] {
 		quote := text[:1]
--- a/standin/simple.go
+++ b/standin/simple.go
@@ -20,55 +20,56 @@
 		if err == nil {
 			continue
 		}
-		if err := c.abortSimple(err); err != nil {
+		if err := c.handleStatementError(err); err != nil {
 			return err
 		}
 		break
 	}
-	return c.ready()
+	return c.sendReady()
 }
 
-// abortSimple sends the error of a statement and ends an implicit transaction.
-func (c *session) abortSimple(err error) error {
+// handleStatementError sends the error of a statement to the client and rolls back
+// an implicit transaction. It returns errors that end the session.
+func (c *session) handleStatementError(err error) error {
 	var sqlErr *sqlError
 	if !errors.As(err, &sqlErr) {
 		return err
 	}
 	c.sendError(sqlErr)
-	return c.endImplicit()
+	return c.endImplicitTransaction()
 }
 
 // simpleStatement runs one statement and sends its result. The implicit
 // transaction ends before the last result is sent.
 func (c *session) simpleStatement(s *statement, last bool) error {
 	if s.class == classCopy {
-		return c.copyStatement(s, last)
+		return c.runCopy(s, last)
 	}
 	set, err := c.run(s, nil)
 	if errors.Is(err, errRolledBack) {
-		c.sendTag("ROLLBACK")
+		c.sendCommandComplete("ROLLBACK")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	if last {
-		if err := c.endImplicit(); err != nil {
+		if err := c.endImplicitTransaction(); err != nil {
 			return err
 		}
 	}
 	if s.returnsRows() {
-		set.settleTypes(guessType)
+		set.resolveTypes(defaultColumnType)
 		c.backend.Send(rowDescription(set.columns, nil))
 		if err := c.sendRows(set.columns, nil, set.rows); err != nil {
 			return err
 		}
 	}
-	c.sendTag(s.tag(set.affected))
+	c.sendCommandComplete(s.tag(set.affected))
 	return nil
 }
 
-func (c *session) sendTag(tag string) {
+func (c *session) sendCommandComplete(tag string) {
 	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 }
 
@@ -84,11 +85,11 @@
 	return nil
 }
 
-// exec runs statements inside the process, without a connection.
+// exec runs statements in one implicit transaction, without a client connection.
 func (s *Server) exec(ctx context.Context, text string) error {
 	c := s.newSession(nil)
-	defer c.cancelAll()
-	defer context.AfterFunc(ctx, c.cancelAll)()
+	defer c.cancelContext()
+	defer context.AfterFunc(ctx, c.cancelContext)()
 	c.control = true
 	for _, part := range splitStatements(text) {
 		if _, err := c.run(parseStatement(part), nil); err != nil {
@@ -99,9 +100,10 @@
 	return c.commit()
 }
 
-// guessType returns the type of a result column that has no declared type and
-// no value to go by. Aggregates over no rows are mostly sums of integers.
-func guessType(name string) uint32 {
+// defaultColumnType returns the type of a result column that has neither a declared
+// type nor a value from which to infer it. Functions that usually return integers
+// give int8: an aggregate over no rows is mostly a sum of integers.
+func defaultColumnType(name string) uint32 {
 	function, _, isCall := strings.Cut(strings.ToLower(name), "(")
 	if !isCall {
 		return pgtype.TextOID
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -13,12 +13,12 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-// testBound ends a test that waits for a condition in vain.
-const testBound = 30 * time.Second
+// testTimeout is the longest time that a test waits for a condition.
+const testTimeout = 30 * time.Second
 
 func testContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testBound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -56,7 +56,7 @@
 	}
 }
 
-func code(err error) string {
+func sqlState(err error) string {
 	var pgErr *pgconn.PgError
 	if errors.As(err, &pgErr) {
 		return pgErr.Code
@@ -64,21 +64,21 @@
 	return ""
 }
 
-// sheetRow is a row of the table of the tests.
-type sheetRow struct {
+// tabRow is a row of the table tabs that the tests use.
+type tabRow struct {
 	Name  string
 	Count int
 	Price float64
 	Ready bool
 }
 
-func rows(t *testing.T, conn *pgx.Conn, sql string, args ...any) []sheetRow {
+func queryRows(t *testing.T, conn *pgx.Conn, sql string, args ...any) []tabRow {
 	t.Helper()
 	result, err := conn.Query(testContext(t), sql, args...)
 	if err != nil {
 		t.Fatalf("%s: %v", sql, err)
 	}
-	got, err := pgx.CollectRows(result, pgx.RowToStructByPos[sheetRow])
+	got, err := pgx.CollectRows(result, pgx.RowToStructByPos[tabRow])
 	if err != nil {
 		t.Fatalf("%s: %v", sql, err)
 	}
@@ -87,8 +87,8 @@
 
 const schema = "CREATE TABLE tabs (id serial PRIMARY KEY, name text UNIQUE, count int, price float8, ready boolean)"
 
-// TestSimpleMode guards against failures of ordinary clients in the simple
-// query mode, and against a position that is not reported.
+// TestSimpleMode guards against statements of ordinary clients that fail in the
+// simple query mode, and against a position that is not reported.
 func TestSimpleMode(t *testing.T) {
 	g := newGroup(t, standin.Options{})
 	testClient(t, g, pgx.QueryExecModeSimpleProtocol)
@@ -108,11 +108,11 @@
 	if err := tx.Commit(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
-	want := []sheetRow{{"1-31", 32, 2.25, false}, {"A-Z", 26, 1.5, true}}
-	if diff := cmp.Diff(want, rows(t, conn, "SELECT name, count, price, ready FROM tabs ORDER BY name")); diff != "" {
+	want := []tabRow{{"1-31", 32, 2.25, false}, {"A-Z", 26, 1.5, true}}
+	if diff := cmp.Diff(want, queryRows(t, conn, "SELECT name, count, price, ready FROM tabs ORDER BY name")); diff != "" {
 		t.Errorf("rows (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(want[:1], rows(t, conn, "SELECT name, count, price, ready FROM tabs WHERE name = $1 AND count > $2", "1-31", 3)); diff != "" {
+	if diff := cmp.Diff(want[:1], queryRows(t, conn, "SELECT name, count, price, ready FROM tabs WHERE name = $1 AND count > $2", "1-31", 3)); diff != "" {
 		t.Errorf("selected rows (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff("1/4", conn.PgConn().ParameterStatus("group_position")); diff != "" {
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestExtendedMode guards against failures of ordinary clients in the default
-// query mode, which prepares and describes each statement.
+// TestExtendedMode guards against statements of ordinary clients that fail in the
+// default query mode, which prepares and describes each statement.
 func TestExtendedMode(t *testing.T) {
 	g := newGroup(t, standin.Options{})
 	testClient(t, g, pgx.QueryExecModeCacheStatement)
@@ -154,7 +154,7 @@
 		t.Errorf("session values (-want +got):\n%s", diff)
 	}
 	_, err := conn.Exec(ctx, "INSERT INTO tabs (name) VALUES ($1)", "Jan-Dec")
-	if diff := cmp.Diff("23505", code(err)); diff != "" {
+	if diff := cmp.Diff("23505", sqlState(err)); diff != "" {
 		t.Errorf("code of a duplicate (-want +got):\n%s", diff)
 	}
 }
--- a/standin/statement.go
+++ b/standin/statement.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// class is what a statement does, as far as the server is concerned.
+// class is the kind of a statement. It determines how the server runs it.
 type class string
 
 // Classes of statements.
@@ -28,8 +28,9 @@
 	classWrite     class = "Write"
 )
 
-// classes maps the first word of a statement to its class.
-var classes = map[string]class{
+// classByKeyword maps the first word of a statement to its class.
+// Statements that start with another word are writes.
+var classByKeyword = map[string]class{
 	"ABORT": classRollback, "BEGIN": classBegin, "CALL": classCall, "COMMIT": classCommit, "COPY": classCopy,
 	"DEALLOCATE": classDiscard, "DISCARD": classDiscard, "END": classCommit, "EXPLAIN": classRead,
 	"LISTEN": classNoOp, "NOTIFY": classNoOp, "RELEASE": classSavepoint, "RESET": classReset,
@@ -43,9 +44,9 @@
 	class class
 	// keyword is the first word in upper case.
 	keyword string
-	// locking is true for a SELECT with a locking clause.
+	// locking is true for a SELECT with a locking clause, which is run as a write.
 	locking bool
-	// text is the statement without its leading comments.
+	// text is the statement without leading comments and without a locking clause.
 	text string
 }
 
@@ -53,29 +54,29 @@
 	dataChangePattern = regexp.MustCompile(`(?i)\b(insert|update|delete)\b`)
 	lockingPattern    = regexp.MustCompile(`(?i)\s+for\s+(no\s+key\s+update|update|key\s+share|share)(\s+of\s+[\w, ]+)?(\s+nowait|\s+skip\s+locked)?\s*$`)
 	returningPattern  = regexp.MustCompile(`(?i)\breturning\b`)
-	wordPattern       = regexp.MustCompile(`^[A-Za-z]+`)
+	firstWordPattern  = regexp.MustCompile(`^[A-Za-z]+`)
 )
 
 func parseStatement(text string) *statement {
 	text = strings.TrimSpace(skipComments(text))
-	s := &statement{keyword: strings.ToUpper(wordPattern.FindString(text)), text: text}
+	s := &statement{keyword: strings.ToUpper(firstWordPattern.FindString(text)), text: text}
 	if text == "" {
 		s.class = classEmpty
 		return s
 	}
 	s.class = classWrite
-	if c, known := classes[s.keyword]; known {
+	if c, known := classByKeyword[s.keyword]; known {
 		s.class = c
 	}
-	bare := blankLiterals(text)
-	if s.keyword == "WITH" && dataChangePattern.MatchString(bare) {
+	withoutLiterals := blankLiterals(text)
+	if s.keyword == "WITH" && dataChangePattern.MatchString(withoutLiterals) {
 		s.class = classWrite
 	}
-	if s.keyword == "SELECT" && lockingPattern.MatchString(bare) {
+	if s.keyword == "SELECT" && lockingPattern.MatchString(withoutLiterals) {
 		s.class, s.locking = classWrite, true
 		s.text = lockingPattern.ReplaceAllString(text, "")
 	}
-	if s.keyword == "ROLLBACK" && regexp.MustCompile(`(?i)\bto\b`).MatchString(bare) {
+	if s.keyword == "ROLLBACK" && regexp.MustCompile(`(?i)\bto\b`).MatchString(withoutLiterals) {
 		s.class = classSavepoint
 	}
 	return s
@@ -111,9 +112,10 @@
 	return s.keyword
 }
 
-// span calls yield for each piece of the text that is a literal, a quoted
-// name or a comment (quoted is true) and for the text between them.
-func spans(text string, yield func(piece string, quoted bool)) {
+// scanQuoted calls yield for each piece of the text that is a literal, a quoted
+// name or a comment (quoted is true), and for the text between them (quoted is
+// false).
+func scanQuoted(text string, yield func(piece string, quoted bool)) {
 	start := 0
 	for i := 0; i < len(text); {
 		end := quotedEnd(text, i)
@@ -133,7 +135,7 @@
 }
 
 // quotedEnd returns the end of the literal, quoted name or comment that
-// starts at i, or i when none does.
+// starts at i, or i if none starts there.
 func quotedEnd(text string, i int) int {
 	switch {
 	case text[i] == '\'' || text[i] == '"':
@@ -162,7 +164,7 @@
 	return i
 }
 
-// skipComments removes leading comments.
+// skipComments removes leading comments, white space and semicolons.
 func skipComments(text string) string {
 	for {
 		text = strings.TrimLeft(text, " \t\r\n;")
@@ -173,10 +175,11 @@
 	}
 }
 
-// blankLiterals replaces literals, quoted names and comments by blanks.
+// blankLiterals replaces literals, quoted names and comments by spaces, so that
+// offsets in the text stay the same.
 func blankLiterals(text string) string {
 	var b strings.Builder
-	spans(text, func(piece string, quoted bool) {
+	scanQuoted(text, func(piece string, quoted bool) {
 		if quoted {
 			piece = strings.Repeat(" ", len(piece))
 		}
@@ -185,31 +188,32 @@
 	return b.String()
 }
 
-// splitStatements splits the text of a simple query at its semicolons.
+// splitStatements splits a text at its semicolons and drops empty statements.
 func splitStatements(text string) []string {
 	var parts []string
-	bare := blankLiterals(text)
+	withoutLiterals := blankLiterals(text)
 	start := 0
-	for i := range len(bare) {
-		if bare[i] == ';' {
+	for i := range len(withoutLiterals) {
+		if withoutLiterals[i] == ';' {
 			parts = append(parts, text[start:i])
 			start = i + 1
 		}
 	}
 	parts = append(parts, text[start:])
-	kept := parts[:0]
+	nonEmpty := parts[:0]
 	for _, part := range parts {
 		if skipComments(part) != "" {
-			kept = append(kept, part)
+			nonEmpty = append(nonEmpty, part)
 		}
 	}
-	return kept
+	return nonEmpty
 }
 
-// rewrites turn PostgreSQL forms into those of SQLite, outside of literals.
+// rewrites are the replacements of PostgreSQL syntax by SQLite syntax. They are
+// applied in order, outside of literals.
 var rewrites = []struct {
-	pattern *regexp.Regexp
-	with    string
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`(?i)\b(big|small)?serial\s+primary\s+key`), "integer primary key autoincrement"},
 	{regexp.MustCompile(`(?i)\bbigint\s+generated\s+(always|by\s+default)\s+as\s+identity\s+primary\s+key`), "integer primary key autoincrement"},
@@ -221,20 +225,20 @@
 	{regexp.MustCompile(`(?i)\btruncate(\s+table)?\s+`), "delete from "},
 }
 
-// nowPattern finds the functions and words that stand for the current time.
+// nowPattern matches the functions and keywords that return the current time.
 var nowPattern = regexp.MustCompile(`(?i)\b(now\(\)|current_timestamp|clock_timestamp\(\)|transaction_timestamp\(\))`)
 
 // rewriteSQL returns the statement in SQLite's dialect. The current time
 // becomes a literal, so that a replay on a replica gives the same rows.
 func rewriteSQL(text string, now time.Time) string {
 	var b strings.Builder
-	spans(text, func(piece string, quoted bool) {
+	scanQuoted(text, func(piece string, quoted bool) {
 		if quoted {
 			b.WriteString(piece)
 			return
 		}
 		for _, r := range rewrites {
-			piece = r.pattern.ReplaceAllString(piece, r.with)
+			piece = r.pattern.ReplaceAllString(piece, r.replacement)
 		}
 		b.WriteString(nowPattern.ReplaceAllString(piece, "'"+timestampText(now)+"'"))
 	})
--- a/standin/transaction.go
+++ b/standin/transaction.go
@@ -8,33 +8,35 @@
 	"github.com/nutmegpier/nutmegpier/group"
 )
 
-// transaction is the open transaction of a session.
+// transaction is the transaction of a session.
 type transaction struct {
-	// drains is true when a fence request waits for the end of the transaction.
-	drains bool
+	// awaitedByFence is true if a fence request waits for the end of the
+	// transaction. Such a transaction may still write.
+	awaitedByFence bool
 	// explicit is true after BEGIN. Otherwise the transaction ends with the
 	// simple query or the Sync message.
 	explicit bool
 	// failed is true after an error, until the rollback.
 	failed bool
-	// pending are savepoint statements from before the first write.
-	pending  []string
-	readOnly bool
-	// statements are the writes so far, in order.
+	// pendingSavepoints are the savepoint statements before the first write. They
+	// run when the write transaction starts.
+	pendingSavepoints []string
+	readOnly          bool
+	// statements are the statements of the log entry so far, in order.
 	statements []loggedStatement
-	// writing is true once the transaction is the server's writer.
+	// writing is true once the transaction has become the server's writer.
 	writing bool
 }
 
-// startWriting makes the transaction the writer of the server. It waits for
-// another writer to end.
+// startWriting makes the transaction the writer of the server. It waits until the
+// current writer has ended, and applies the rest of the log first.
 func (s *Server) startWriting(ctx context.Context, tx *transaction) error {
 	if tx.writing {
 		return nil
 	}
 	var refusal error
 	err := s.waitFor(ctx, func() bool {
-		refusal = s.checkWritable(tx)
+		refusal = s.checkNewWrite(tx)
 		if refusal != nil || s.writer != nil {
 			return refusal != nil
 		}
@@ -50,12 +52,12 @@
 	tx.writing = true
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
-	s.applyRest()
+	s.applyAllLocked()
 	if err := s.engine.begin(tx); err != nil {
 		return err
 	}
-	for _, text := range tx.pending {
-		if err := s.engine.work.exec(text); err != nil {
+	for _, text := range tx.pendingSavepoints {
+		if err := s.engine.working.exec(text); err != nil {
 			return err
 		}
 		tx.statements = append(tx.statements, loggedStatement{sql: text})
@@ -63,43 +65,45 @@
 	return nil
 }
 
-// beginTransaction takes note of a transaction block that may write. A server
-// that is fenced, or is being fenced, refuses it.
-func (s *Server) beginTransaction(tx *transaction) error {
+// registerTransaction registers a transaction block that may write, so that a fence
+// request can wait for its end. A server that is fenced, or is being fenced,
+// refuses it.
+func (s *Server) registerTransaction(tx *transaction) error {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	if s.draining || s.role == group.RoleFenced {
 		return newSQLError(codeReadOnly, "cannot begin a transaction that may write")
 	}
-	s.open[tx] = struct{}{}
+	s.openTransactions[tx] = struct{}{}
 	return nil
 }
 
-// endTransaction ends the note of beginTransaction.
-func (s *Server) endTransaction(tx *transaction) {
+// unregisterTransaction removes a transaction that has ended from the registered
+// ones.
+func (s *Server) unregisterTransaction(tx *transaction) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	if _, noted := s.open[tx]; noted {
-		delete(s.open, tx)
+	if _, registered := s.openTransactions[tx]; registered {
+		delete(s.openTransactions, tx)
 		s.broadcast()
 	}
 }
 
-// isDrained reports whether all transactions that a fence request waits for
-// have ended. The caller holds the group's lock.
+// isDrained reports whether all transactions that a fence request waits for, and
+// the current writer, have ended. The caller holds the group's lock.
 func (s *Server) isDrained() bool {
-	for tx := range s.open {
-		if tx.drains {
+	for tx := range s.openTransactions {
+		if tx.awaitedByFence {
 			return false
 		}
 	}
 	return s.writer == nil
 }
 
-// checkWritable returns the refusal of a new write. The caller holds the
-// group's lock.
-func (s *Server) checkWritable(tx *transaction) error {
-	if s.role != group.RolePrimary || (s.draining && !tx.drains) || !s.running {
+// checkNewWrite returns an error if the transaction must not start to write. The
+// caller holds the group's lock.
+func (s *Server) checkNewWrite(tx *transaction) error {
+	if s.role != group.RolePrimary || (s.draining && !tx.awaitedByFence) || !s.running {
 		return newSQLError(codeReadOnly, "cannot execute a write in a read-only transaction")
 	}
 	return nil
@@ -112,10 +116,10 @@
 	return s.writer == tx
 }
 
-// commit ends the transaction. It returns the position of its log entry, or
-// zero when nothing was written.
+// commit commits the transaction. It returns the position of its log entry, or the
+// zero position if nothing was written.
 func (s *Server) commit(tx *transaction) (fleet.Position, error) {
-	if !tx.writing || len(tx.statements) == len(tx.pending) {
+	if !tx.writing || len(tx.statements) == len(tx.pendingSavepoints) {
 		return fleet.Position{}, s.rollback(tx)
 	}
 	s.engine.mu.Lock()
@@ -123,9 +127,10 @@
 	e := &entry{statements: tx.statements}
 	number, appended := s.appendEntry(tx, e)
 	if !appended {
-		if s.engine.owner == tx {
-			// The transaction is aborted in each case.
-			_ = s.engine.abandon()
+		if s.engine.writeTx == tx {
+			// The error is ignored: the transaction is reported as aborted in any
+			// case.
+			_ = s.engine.rollbackOpenTx()
 		}
 		return fleet.Position{}, newSQLError(codeSerialization, "the transaction was aborted because the server is no longer the primary")
 	}
@@ -139,16 +144,17 @@
 func (s *Server) appendEntry(tx *transaction, e *entry) (int, bool) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	if s.writer != tx || s.engine.owner != tx {
+	if s.writer != tx || s.engine.writeTx != tx {
 		return 0, false
 	}
 	e.term = s.term
-	s.log = append(s.log, logged{entry: e, at: time.Now()})
+	s.log = append(s.log, storedEntry{entry: e, storedAt: time.Now()})
 	s.broadcast()
 	return len(s.log), true
 }
 
-// finishCommit makes the committed entry visible and lets the next writer start.
+// finishCommit marks the committed entry as applied, or the data as to be rebuilt if
+// the commit failed, and lets the next writer start.
 func (s *Server) finishCommit(number int, err error) {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
@@ -162,15 +168,15 @@
 	s.broadcast()
 }
 
-// rollback ends the transaction without effect.
+// rollback rolls back the transaction and lets the next writer start.
 func (s *Server) rollback(tx *transaction) error {
 	if !tx.writing {
 		return nil
 	}
 	s.engine.mu.Lock()
 	var err error
-	if s.engine.owner == tx {
-		err = s.engine.abandon()
+	if s.engine.writeTx == tx {
+		err = s.engine.rollbackOpenTx()
 	}
 	s.engine.mu.Unlock()
 	s.group.mu.Lock()
--- a/standin/value.go
+++ b/standin/value.go
@@ -12,18 +12,19 @@
 	"github.com/jackc/pgx/v5/pgtype"
 )
 
-// formatBinary is the protocol's code for the binary form of a value.
+// formatBinary is the protocol's code for the binary format of a value.
 const formatBinary = 1
 
-// column describes a result column. An oid of zero means not yet known.
+// column describes a result column. An oid of zero means that the type is not
+// known yet.
 type column struct {
 	name string
 	oid  uint32
 }
 
-// oidOfDeclared returns the type of a column declared with the SQL type, or
-// zero when nothing was declared.
-func oidOfDeclared(declared string) uint32 {
+// oidOfDeclaredType returns the type OID for the declared SQL type of a column, or
+// zero if no type was declared.
+func oidOfDeclaredType(declared string) uint32 {
 	name := strings.ToLower(declared)
 	switch {
 	case name == "":
@@ -40,7 +41,7 @@
 	return pgtype.TextOID
 }
 
-// oidOfValue returns the type of a value, or zero for NULL.
+// oidOfValue returns the type OID of a value, or zero for NULL.
 func oidOfValue(value any) uint32 {
 	switch value.(type) {
 	case nil:
@@ -57,9 +58,9 @@
 	return pgtype.TextOID
 }
 
-// settleTypes gives each column without a declared type the type of its first
-// value that is not NULL, and the fallback when there is none.
-func (s *rowSet) settleTypes(fallback func(name string) uint32) {
+// resolveTypes sets the type of each column without a declared type to the type of
+// its first value that is not NULL, or to the fallback if there is none.
+func (s *resultSet) resolveTypes(fallback func(name string) uint32) {
 	for i := range s.columns {
 		for _, row := range s.rows {
 			if s.columns[i].oid != 0 {
@@ -73,7 +74,7 @@
 	}
 }
 
-// typeSizes are the fixed sizes of types in bytes.
+// typeSizes holds the sizes in bytes of the types with a fixed size.
 var typeSizes = map[uint32]int16{pgtype.BoolOID: 1, pgtype.Float8OID: 8, pgtype.Int8OID: 8}
 
 // rowDescription returns the message for columns and their formats.
@@ -95,8 +96,8 @@
 	return desc
 }
 
-// formatAt returns the format code of a value by the protocol's rule: none
-// means text, one holds for all.
+// formatAt returns the format code of the value at an index by the protocol's rule:
+// no codes mean text for all values, a single code applies to all values.
 func formatAt(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 0:
@@ -155,7 +156,7 @@
 	return []byte(textOf(oid, value)), nil
 }
 
-// textOf returns the text form of a value in a column of the type.
+// textOf returns the text format of a value in a column of the type.
 func textOf(oid uint32, value any) string {
 	switch v := value.(type) {
 	case bool:
@@ -197,7 +198,7 @@
 	return "f"
 }
 
-// decodeParameter returns the value of a parameter for the engine.
+// decodeParameter converts a parameter to a value for the engine.
 func decodeParameter(oid uint32, format int16, data []byte) (any, error) {
 	if data == nil {
 		return nil, nil
@@ -238,8 +239,9 @@
 	return nil, newSQLError(codeFeatureUnsupported, "parameter of type %d with %d bytes in binary form is not supported", oid, len(data))
 }
 
-// decodeText keeps a text that does not fit the type, because most parameter
-// types are guesses from the statement's context.
+// decodeText converts a value in the text format. A text that is not valid for the
+// type stays a string, because most parameter types are only inferred from the
+// statement.
 func decodeText(oid uint32, text string) any {
 	switch oid {
 	case pgtype.BoolOID:
