--- a/cmd/democmd.go
+++ b/cmd/democmd.go
@@ -126,11 +126,11 @@
 	}
 	errOut := cmd.ErrOrStderr()
 	for number := range local.external {
-		external, err := d.WriteSettings(local.externalDir, number+1)
+		external, err := d.AddExternalInstance(local.externalDir, number+1)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(errOut, "nutmegpier serve --config %s\n  %s\n", external.Settings, external.URLs[0])
+		fmt.Fprintf(errOut, "nutmegpier serve --config %s\n  %s\n", external.SettingsPath, external.URLs[0])
 	}
 	fmt.Fprintf(errOut, "administration API: %s\n", strings.Join(d.AdminURLs(), " "))
 	fmt.Fprintln(errOut, "serving until interrupted; type help for the fault commands")
@@ -152,7 +152,7 @@
 		fmt.Fprintln(errOut, demo.FaultHelp)
 		return
 	}
-	if err := d.Fault(command); err != nil {
+	if err := d.RunFaultCommand(command); err != nil {
 		fmt.Fprintln(errOut, err)
 		return
 	}
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -81,7 +81,7 @@
 	}
 	for command, want := range cases {
 		got := ""
-		if err := running.Fault(command); err != nil {
+		if err := running.RunFaultCommand(command); err != nil {
 			got = err.Error()
 			var failed *demo.Error
 			if !errors.As(err, &failed) || failed.Kind != demo.KindCommand {
--- a/demo/external.go
+++ b/demo/external.go
@@ -13,25 +13,25 @@
 	"github.com/nutmegpier/nutmegpier/metastore"
 )
 
-// External is an instance that runs as a process of its own before the
+// ExternalInstance is an instance that runs as a process of its own before the
 // stand-ins of the demo.
-type External struct {
+type ExternalInstance struct {
 	AdminURL string
 	// Settings is the settings file for nutmegpier serve.
-	Settings string
+	SettingsPath string
 	// URLs are connection URLs, one for each workspace.
 	URLs []string
 }
 
-// WriteSettings writes a settings file for an instance that runs as a process
+// AddExternalInstance writes a settings file for an instance that runs as a process
 // of its own, and adds the instance to the platform's list. The ports are free
 // when the file is written. A second file lists the URL of the administration
 // API and the connection URLs.
-func (d *Demo) WriteSettings(directory string, number int) (External, error) {
+func (d *Demo) AddExternalInstance(directory string, number int) (ExternalInstance, error) {
 	id := fleet.InstanceID(fmt.Sprintf("serve-%d", number))
 	listeners, err := freeListeners()
 	if err != nil {
-		return External{}, err
+		return ExternalInstance{}, err
 	}
 	dataCentres := d.dataCentres()
 	dataCentre := dataCentres[number%len(dataCentres)]
@@ -39,11 +39,11 @@
 	closeListeners(listeners)
 	encoded, err := json.MarshalIndent(file, "", "  ")
 	if err != nil {
-		return External{}, &Error{Op: "encode settings", Kind: KindStart, Err: err}
+		return ExternalInstance{}, &Error{Op: "encode settings", Kind: KindStart, Err: err}
 	}
 	name := filepath.Join(directory, string(id)+".hujson")
 	if err := os.WriteFile(name, encoded, 0o600); err != nil {
-		return External{}, &Error{Op: "write settings", Kind: KindStart, Err: err}
+		return ExternalInstance{}, &Error{Op: "write settings", Kind: KindStart, Err: err}
 	}
 	d.platform.AddInstance(metastore.Instance{
 		DataCentre:  dataCentre,
@@ -51,13 +51,13 @@
 		PeerAddress: file.Listen.Peers,
 		State:       metastore.InstanceLive,
 	})
-	external := External{AdminURL: "http://" + file.Listen.Admin, Settings: name}
+	external := ExternalInstance{AdminURL: "http://" + file.Listen.Admin, SettingsPath: name}
 	for _, key := range d.keys {
 		external.URLs = append(external.URLs, connectionURL(file.Listen.Callers, key, key.Databases[0]))
 	}
 	urls := strings.Join(append([]string{external.AdminURL}, external.URLs...), "\n") + "\n"
 	if err := os.WriteFile(filepath.Join(directory, string(id)+".urls"), []byte(urls), 0o600); err != nil {
-		return External{}, &Error{Op: "write URLs", Kind: KindStart, Err: err}
+		return ExternalInstance{}, &Error{Op: "write URLs", Kind: KindStart, Err: err}
 	}
 	return external, nil
 }
--- a/demo/fault.go
+++ b/demo/fault.go
@@ -24,7 +24,7 @@
 const instancePrefix = "nutmegpier"
 
 // Fault carries out a fault command.
-func (d *Demo) Fault(command string) error {
+func (d *Demo) RunFaultCommand(command string) error {
 	words := strings.Fields(command)
 	if len(words) == 0 {
 		return nil
--- a/measure/datacentreleave.go
+++ b/measure/datacentreleave.go
@@ -29,7 +29,7 @@
 
 // phase is a part of a run with its own latency.
 type phase struct {
-	latency *Latency
+	latency *LatencyHistogram
 	name    string
 }
 
@@ -116,7 +116,7 @@
 		log.instances[id] = r.world.demo.Instance(id).Status().DataCentre == r.world.deployment.DataCentres[0]
 	}
 	for _, name := range []string{"Before", "Leave", "Return"} {
-		log.latency = append(log.latency, phase{latency: NewLatency(), name: name})
+		log.latency = append(log.latency, phase{latency: NewLatencyHistogram(), name: name})
 	}
 	for _, group := range status.Groups {
 		for _, server := range group.Servers {
--- a/measure/failovergap.go
+++ b/measure/failovergap.go
@@ -100,7 +100,7 @@
 	if kind.fault == "" {
 		return nil
 	}
-	return r.world.demo.Fault(kind.fault + " " + string(g.ID()))
+	return r.world.demo.RunFaultCommand(kind.fault + " " + string(g.ID()))
 }
 
 // promotionAfter returns the last promotion in a group that was decided after
--- a/measure/latency.go
+++ b/measure/latency.go
@@ -13,34 +13,34 @@
 	histogramMin    = time.Microsecond
 )
 
-// Latency records durations between one microsecond and one minute. Longer
+// LatencyHistogram records durations between one microsecond and one minute. Longer
 // ones count as one minute. It is safe for concurrent use.
-type Latency struct {
+type LatencyHistogram struct {
 	histogram *hdrhistogram.Histogram
 	mu        sync.Mutex
 }
 
-// NewLatency returns an empty recorder.
-func NewLatency() *Latency {
-	return &Latency{histogram: hdrhistogram.New(histogramMin.Microseconds(), histogramMax.Microseconds(), histogramDigits)}
+// NewLatencyHistogram returns an empty recorder.
+func NewLatencyHistogram() *LatencyHistogram {
+	return &LatencyHistogram{histogram: hdrhistogram.New(histogramMin.Microseconds(), histogramMax.Microseconds(), histogramDigits)}
 }
 
 // Count returns the number of recorded durations.
-func (l *Latency) Count() int64 {
+func (l *LatencyHistogram) Count() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.histogram.TotalCount()
 }
 
 // Quantile returns the duration at a quantile between 0 and 1.
-func (l *Latency) Quantile(q float64) time.Duration {
+func (l *LatencyHistogram) Quantile(q float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.histogram.ValueAtQuantile(q*100)) * time.Microsecond
 }
 
 // Record adds a duration.
-func (l *Latency) Record(d time.Duration) {
+func (l *LatencyHistogram) Record(d time.Duration) {
 	d = min(max(d, histogramMin), histogramMax)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,7 @@
 }
 
 // Series returns the durations at rising quantiles as a plot line.
-func (l *Latency) Series(name string) Series {
+func (l *LatencyHistogram) Series(name string) Series {
 	series := Series{Name: name, XLabel: "quantile", YLabel: "latency in ms"}
 	for _, q := range []float64{0, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.999, 1} {
 		value := float64(l.Quantile(q)) / float64(time.Millisecond)
@@ -59,7 +59,7 @@
 }
 
 // Merge adds the durations of another recorder.
-func (l *Latency) Merge(other *Latency) {
+func (l *LatencyHistogram) Merge(other *LatencyHistogram) {
 	other.mu.Lock()
 	defer other.mu.Unlock()
 	l.mu.Lock()
--- a/measure/load.go
+++ b/measure/load.go
@@ -34,7 +34,7 @@
 
 // tally is what a lane saw. It is safe for concurrent use.
 type tally struct {
-	latency *Latency
+	latency *LatencyHistogram
 
 	mu       sync.Mutex
 	codes    map[string]int64
@@ -44,7 +44,7 @@
 }
 
 func newTally() *tally {
-	return &tally{codes: make(map[string]int64), latency: NewLatency(), outcomes: make(map[caller.Outcome]int64)}
+	return &tally{codes: make(map[string]int64), latency: NewLatencyHistogram(), outcomes: make(map[caller.Outcome]int64)}
 }
 
 // record adds one request. Its latency counts from the time it was due.
--- a/measure/overhead.go
+++ b/measure/overhead.go
@@ -97,7 +97,7 @@
 			return err
 		}
 	}
-	directLatency, proxiedLatency := NewLatency(), NewLatency()
+	directLatency, proxiedLatency := NewLatencyHistogram(), NewLatencyHistogram()
 	end := time.Now().Add(r.duration / time.Duration(len(statementKinds())))
 	for turn := 0; time.Now().Before(end) && turn < maxArrivals; turn++ {
 		first, second := direct, proxied
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func timeStatement(ctx context.Context, kind statementKind, conn *pgconn.PgConn, latency *Latency) error {
+func timeStatement(ctx context.Context, kind statementKind, conn *pgconn.PgConn, latency *LatencyHistogram) error {
 	start := time.Now()
 	var err error
 	if kind.extended {
@@ -132,7 +132,7 @@
 	return err
 }
 
-func (r *repetition) reportOverhead(variant string, direct, proxied *Latency) {
+func (r *repetition) reportOverhead(variant string, direct, proxied *LatencyHistogram) {
 	c := r.collector
 	for _, quantile := range []struct {
 		name string
--- a/measure/world.go
+++ b/measure/world.go
@@ -74,7 +74,7 @@
 func (w *world) heal(ctx context.Context, group *standin.Group) error {
 	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
-	if err := w.demo.Fault("heal " + string(group.ID())); err != nil {
+	if err := w.demo.RunFaultCommand("heal " + string(group.ID())); err != nil {
 		return err
 	}
 	for group.WaitApplied(ctx) != nil {
