--- a/demo/demo.go
+++ b/demo/demo.go
@@ -25,13 +25,15 @@
 // backendUser is the user name of the instances on the stand-in servers.
 const backendUser = "nutmegpier"
 
-// Options say what a demo runs.
+// Options configure a demo.
 type Options struct {
+	// Deployments run together: each instance serves the databases of all of them.
 	Deployments []Deployment
 	// Instances is the number of instances.
 	Instances int
-	// Listen is "ip:port" of the first instance. The others take the following
-	// ports. Port 0 takes any free port for each.
+	// Listen is the address "ip:port" on which the first instance accepts callers.
+	// The other instances use the ports after it. With port 0, each instance uses
+	// any free port.
 	Listen string
 	// LogFormat is "text" or "json".
 	LogFormat string
@@ -39,7 +41,7 @@
 	LogOutput io.Writer
 }
 
-// Demo is a running deployment.
+// Demo is one or more running deployments that share a platform and instances.
 type Demo struct {
 	groups       []runningGroup
 	keys         []WorkspaceKey
@@ -47,26 +49,35 @@
 	platform     *standin.Platform
 	platformURL  string
 	stopPlatform func()
-	token        string
+	// token is the bearer token of the administration API.
+	token string
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// instances holds all instances that were started, also the stopped ones.
 	instances []*runningInstance
 }
 
-// runningInstance is an instance with the means to end it.
+// runningInstance is an instance that runs in this process.
 type runningInstance struct {
-	adminURL   string
-	address    string
+	adminURL string
+	// address is the address on which the instance accepts callers.
+	address string
+	// cancel starts a graceful stop.
 	cancel     context.CancelFunc
 	dataCentre fleet.DataCentre
-	done       chan struct{}
-	err        error
-	id         fleet.InstanceID
-	instance   *instance.Instance
-	stopped    bool
+	// done is closed when the instance has ended.
+	done chan struct{}
+	// err is the error with which the instance ended. It is set before done is
+	// closed.
+	err      error
+	id       fleet.InstanceID
+	instance *instance.Instance
+	// stopped is set when Kill or Stop is called.
+	stopped bool
 }
 
-// Start starts the deployment and publishes its sheet. Close ends it.
+// Start starts the deployments of the options, publishes their sheet and waits until
+// all instances are ready. Close stops them.
 func Start(ctx context.Context, options Options) (*Demo, error) {
 	d := &Demo{options: options, platform: standin.NewPlatform(), token: rand.Text()}
 	if err := d.start(ctx); err != nil {
@@ -75,7 +86,7 @@
 	return d, nil
 }
 
-// Client returns a client for the administration API of an instance.
+// Client returns a client for the administration API of a running instance, or nil.
 func (d *Demo) Client(id fleet.InstanceID) *operator.Client {
 	for _, running := range d.running() {
 		if running.id == id {
@@ -85,19 +96,19 @@
 	return nil
 }
 
-// Close stops all instances gracefully and then the stand-ins.
+// Close stops all instances gracefully, and then the stand-ins.
 func (d *Demo) Close() error {
 	var errs []error
 	running := d.running()
-	for _, instance := range running {
-		instance.cancel()
+	for _, inst := range running {
+		inst.cancel()
 	}
-	for _, instance := range running {
-		<-instance.done
-		errs = append(errs, instance.err)
+	for _, inst := range running {
+		<-inst.done
+		errs = append(errs, inst.err)
 	}
 	for _, group := range d.groups {
-		group.servers.Close()
+		group.standIn.Close()
 	}
 	if d.stopPlatform != nil {
 		d.stopPlatform()
@@ -105,11 +116,11 @@
 	return errors.Join(errs...)
 }
 
-// Group returns the group of a database, or nil.
+// Group returns the stand-in group of a database, or nil.
 func (d *Demo) Group(id fleet.GroupID) *standin.Group {
 	for _, group := range d.groups {
-		if group.servers.ID() == id {
-			return group.servers
+		if group.standIn.ID() == id {
+			return group.standIn
 		}
 	}
 	return nil
@@ -139,9 +150,9 @@
 	return d.keys
 }
 
-// Kill ends an instance without a drain.
+// Kill stops an instance abruptly, without draining it.
 func (d *Demo) Kill(id fleet.InstanceID) error {
-	return d.end(id, func(running *runningInstance) { running.instance.Kill() })
+	return d.terminate(id, func(running *runningInstance) { running.instance.Kill() })
 }
 
 // Platform returns the platform stand-in.
@@ -149,9 +160,9 @@
 	return d.platform
 }
 
-// Stop ends an instance with a drain and waits for its end.
+// Stop drains an instance and waits until it has ended.
 func (d *Demo) Stop(id fleet.InstanceID) error {
-	return d.end(id, func(running *runningInstance) { running.cancel() })
+	return d.terminate(id, func(running *runningInstance) { running.cancel() })
 }
 
 // Token returns the bearer token of the administration API.
@@ -168,7 +179,8 @@
 	return urls
 }
 
-// URL returns the connection URL of a workspace for a database through an instance.
+// URL returns the URL with which a workspace connects to a database through an
+// instance. It is empty if the instance is not running.
 func (d *Demo) URL(id fleet.InstanceID, key WorkspaceKey, database fleet.GroupID) string {
 	for _, running := range d.running() {
 		if running.id == id {
@@ -178,14 +190,15 @@
 	return ""
 }
 
-// URLs returns connection URLs: each workspace through two instances.
+// URLs returns the connection URLs of each workspace to its first database, through
+// two different instances if there are two.
 func (d *Demo) URLs() []string {
-	const through = 2
+	const instancesPerWorkspace = 2
 	ids := d.Instances()
 	var urls []string
-	for number, key := range d.keys {
-		for offset := range min(through, len(ids)) {
-			id := ids[(number+offset)%len(ids)]
+	for index, key := range d.keys {
+		for offset := range min(instancesPerWorkspace, len(ids)) {
+			id := ids[(index+offset)%len(ids)]
 			urls = append(urls, d.URL(id, key, key.Databases[0]))
 		}
 	}
@@ -195,7 +208,7 @@
 func (d *Demo) start(ctx context.Context) error {
 	platformURL, stop, err := d.platform.Listen()
 	if err != nil {
-		return &Error{Op: "start platform", Kind: KindStart, Err: err}
+		return &Error{Op: "start platform stand-in", Kind: KindStart, Err: err}
 	}
 	d.platformURL = platformURL
 	d.stopPlatform = stop
@@ -204,7 +217,7 @@
 			return err
 		}
 	}
-	content, err := d.newSheet()
+	initialSheet, err := d.generateKeysAndSheet()
 	if err != nil {
 		return err
 	}
@@ -212,51 +225,53 @@
 	if err != nil {
 		return err
 	}
-	for number, opened := range listeners {
-		if err := d.startInstance(number, opened); err != nil {
-			closeAll(listeners[number:])
+	for index, instanceListeners := range listeners {
+		if err := d.startInstance(index, instanceListeners); err != nil {
+			closeAllListeners(listeners[index:])
 			return err
 		}
 	}
 	first := d.Instances()[0]
-	if err := d.publish(ctx, d.Client(first), content); err != nil {
+	if err := d.publish(ctx, d.Client(first), initialSheet); err != nil {
 		return err
 	}
 	return d.awaitReady(ctx)
 }
 
-// awaitReady waits until each instance takes callers.
+// awaitReady waits until each instance accepts callers.
 func (d *Demo) awaitReady(ctx context.Context) error {
 	for _, running := range d.running() {
 		if err := running.instance.AwaitReady(ctx); err != nil {
-			return &Error{Op: "await instance " + string(running.id), Kind: KindStart, Err: err}
+			return &Error{Op: "wait for readiness of instance " + string(running.id), Kind: KindStart, Err: err}
 		}
 	}
 	return nil
 }
 
+// startGroups starts a group of stand-in servers for each database of a deployment and
+// creates the sample tables.
 func (d *Demo) startGroups(ctx context.Context, deployment Deployment) error {
-	for number, database := range deployment.Databases {
-		perServer := (deployment.Connections + serversPerGroup - 1) / serversPerGroup
-		servers, err := standin.NewGroup(standin.Options{
+	for index, database := range deployment.Databases {
+		connectionsPerServer := (deployment.Connections + serversPerGroup - 1) / serversPerGroup
+		standIn, err := standin.NewGroup(standin.Options{
 			ApplyLag:        applyLag,
 			ConnectDelay:    connectionCost,
-			ConnectionLimit: perServer,
+			ConnectionLimit: connectionsPerServer,
 			ID:              database.Group,
 			ReceiveDelay:    receiveDelay,
 			Servers:         serversPerGroup,
 			Slots:           slotsPerServer,
 		})
 		if err != nil {
-			return &Error{Op: "start group " + string(database.Group), Kind: KindStart, Err: err}
+			return &Error{Op: "start stand-in group " + string(database.Group), Kind: KindStart, Err: err}
 		}
 		d.groups = append(d.groups, runningGroup{
 			connections: deployment.Connections,
-			dataCentres: rotate(deployment.DataCentres, number),
-			servers:     servers,
+			dataCentres: rotate(deployment.DataCentres, index),
+			standIn:     standIn,
 		})
 		for _, statement := range database.Schema {
-			if err := servers.Exec(ctx, statement); err != nil {
+			if err := standIn.Exec(ctx, statement); err != nil {
 				return &Error{Op: "create tables of " + string(database.Group), Kind: KindStart, Err: err}
 			}
 		}
@@ -264,50 +279,53 @@
 	return nil
 }
 
-func (d *Demo) startInstance(number int, listeners instance.Listeners) error {
-	id := fleet.InstanceID(fmt.Sprintf("demo-%d", number+1))
+// startInstance adds an instance to the platform's list and runs it in the background.
+func (d *Demo) startInstance(index int, listeners instance.Listeners) error {
+	id := fleet.InstanceID(fmt.Sprintf("demo-%d", index+1))
 	dataCentres := d.dataCentres()
-	dataCentre := dataCentres[number%len(dataCentres)]
-	configured, err := d.settingsOf(id, dataCentre, listeners)
+	dataCentre := dataCentres[index%len(dataCentres)]
+	instanceSettings, err := d.parseSettings(id, dataCentre, listeners)
 	if err != nil {
-		return &Error{Op: "settings of " + string(id), Kind: KindStart, Err: err}
+		return &Error{Op: "parse settings of " + string(id), Kind: KindStart, Err: err}
 	}
-	opened, err := instance.Open(instance.Options{
+	inst, err := instance.Open(instance.Options{
 		Listeners: listeners,
 		LogFormat: d.options.LogFormat,
 		LogOutput: d.options.LogOutput,
-		Settings:  configured,
+		Settings:  instanceSettings,
 	})
 	if err != nil {
-		return &Error{Op: "open " + string(id), Kind: KindStart, Err: err}
+		return &Error{Op: "open instance " + string(id), Kind: KindStart, Err: err}
 	}
 	d.platform.AddInstance(metastore.Instance{
 		DataCentre:  dataCentre,
 		ID:          id,
-		PeerAddress: configured.Listen.Peers,
+		PeerAddress: instanceSettings.Listen.Peers,
 		State:       metastore.InstanceLive,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	running := &runningInstance{
-		address:    configured.Listen.Callers,
-		adminURL:   "http://" + configured.Listen.Admin,
+		address:    instanceSettings.Listen.Callers,
+		adminURL:   "http://" + instanceSettings.Listen.Admin,
 		cancel:     cancel,
 		dataCentre: dataCentre,
 		done:       make(chan struct{}),
 		id:         id,
-		instance:   opened,
+		instance:   inst,
 	}
 	d.mu.Lock()
 	d.instances = append(d.instances, running)
 	d.mu.Unlock()
 	go func() {
 		defer close(running.done)
-		running.err = opened.Run(ctx)
+		running.err = inst.Run(ctx)
 	}()
 	return nil
 }
 
-func (d *Demo) end(id fleet.InstanceID, end func(*runningInstance)) error {
+// terminate stops a running instance with the given function, waits until it has
+// ended and removes it from the platform's list of instances.
+func (d *Demo) terminate(id fleet.InstanceID, terminate func(*runningInstance)) error {
 	for _, running := range d.running() {
 		if running.id != id {
 			continue
@@ -315,37 +333,38 @@
 		d.mu.Lock()
 		running.stopped = true
 		d.mu.Unlock()
-		end(running)
+		terminate(running)
 		<-running.done
 		d.platform.RemoveInstance(id)
 		return running.err
 	}
-	return &Error{Op: "end instance", Kind: KindCommand, Err: fmt.Errorf("unknown instance %q", id)}
+	return &Error{Op: "stop instance", Kind: KindCommand, Err: fmt.Errorf("unknown instance %q", id)}
 }
 
-// listenAll opens the listeners of all instances before the first one starts,
-// so that a busy port is reported at once and starts nothing.
+// listenAll opens the listeners of all instances before the first instance starts.
+// A port that is in use is thus reported before any instance runs.
 func (d *Demo) listenAll() ([]instance.Listeners, error) {
 	var all []instance.Listeners
-	for number := range d.options.Instances {
-		opened, err := d.listen(number)
+	for index := range d.options.Instances {
+		listeners, err := d.listen(index)
 		if err != nil {
-			closeAll(all)
+			closeAllListeners(all)
 			return nil, err
 		}
-		all = append(all, opened)
+		all = append(all, listeners)
 	}
 	return all, nil
 }
 
-func closeAll(all []instance.Listeners) {
+func closeAllListeners(all []instance.Listeners) {
 	for _, listeners := range all {
 		closeListeners(listeners)
 	}
 }
 
-// listen opens the listeners of an instance. Only callers get a port of the options.
-func (d *Demo) listen(number int) (instance.Listeners, error) {
+// listen opens the listeners of an instance. Only the listener for callers uses the
+// port of the options; the other two use any free port.
+func (d *Demo) listen(index int) (instance.Listeners, error) {
 	host, portText, err := net.SplitHostPort(d.options.Listen)
 	if err != nil {
 		return instance.Listeners{}, &Error{Op: "listen", Kind: KindStart, Err: err}
@@ -355,21 +374,21 @@
 		return instance.Listeners{}, &Error{Op: "listen", Kind: KindStart, Err: fmt.Errorf("port %q is not a number", portText)}
 	}
 	if port != 0 {
-		port += number
+		port += index
 	}
 	addresses := []string{net.JoinHostPort(host, strconv.Itoa(port)), net.JoinHostPort(host, "0"), net.JoinHostPort(host, "0")}
-	var opened []net.Listener
+	var listeners []net.Listener
 	for _, address := range addresses {
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
-			for _, earlier := range opened {
+			for _, earlier := range listeners {
 				_ = earlier.Close()
 			}
 			return instance.Listeners{}, &Error{Op: "listen", Kind: KindStart, Err: err}
 		}
-		opened = append(opened, listener)
+		listeners = append(listeners, listener)
 	}
-	return instance.Listeners{Callers: opened[0], Peers: opened[1], Admin: opened[2]}, nil
+	return instance.Listeners{Callers: listeners[0], Peers: listeners[1], Admin: listeners[2]}, nil
 }
 
 func (d *Demo) dataCentres() []fleet.DataCentre {
@@ -380,7 +399,7 @@
 	return all
 }
 
-// running returns the instances that were not ended.
+// running returns the instances that were not stopped.
 func (d *Demo) running() []*runningInstance {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -393,7 +412,7 @@
 	return running
 }
 
-func (d *Demo) tokenSum() string {
+func (d *Demo) tokenHash() string {
 	sum := sha256.Sum256([]byte(d.token))
 	return hex.EncodeToString(sum[:])
 }
@@ -407,8 +426,8 @@
 	}).String()
 }
 
-// rotate returns the list beginning at a place, so that primaries are spread
-// over the data centres.
-func rotate(list []fleet.DataCentre, by int) []fleet.DataCentre {
-	return slices.Concat(list[by%len(list):], list[:by%len(list)])
+// rotate returns the list rotated left by offset. Starting each group with another
+// data centre spreads the primaries over the data centres.
+func rotate(list []fleet.DataCentre, offset int) []fleet.DataCentre {
+	return slices.Concat(list[offset%len(list):], list[:offset%len(list)])
 }
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -16,7 +16,7 @@
 	"github.com/nutmegpier/nutmegpier/demo"
 )
 
-// startTimeout bounds the start of a demo.
+// startTimeout bounds the start of a demo, including the sheet's publication.
 const startTimeout = time.Minute
 
 func options(listen string, instances int) demo.Options {
@@ -29,45 +29,45 @@
 	}
 }
 
-// TestDemo guards against connection URLs that clients cannot use and against
-// fault commands that are carried out although their arguments are wrong.
+// TestDemo guards against connection URLs that clients cannot use, and against fault
+// commands that run although their arguments are wrong.
 func TestDemo(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), startTimeout)
 	defer cancel()
-	running, err := demo.Start(ctx, options("127.0.0.1:0", 2))
+	d, err := demo.Start(ctx, options("127.0.0.1:0", 2))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := running.Close(); err != nil {
+		if err := d.Close(); err != nil {
 			t.Errorf("Close: %v", err)
 		}
 	}()
-	t.Run("URLs", func(t *testing.T) { checkURLs(t, running) })
-	t.Run("Faults", func(t *testing.T) { checkFaults(t, running) })
+	t.Run("URLs", func(t *testing.T) { checkURLs(t, d) })
+	t.Run("Faults", func(t *testing.T) { checkFaults(t, d) })
 }
 
-func checkURLs(t *testing.T, running *demo.Demo) {
-	urls := running.URLs()
-	if want := 2 * len(running.Keys()); len(urls) != want {
+func checkURLs(t *testing.T, d *demo.Demo) {
+	urls := d.URLs()
+	if want := 2 * len(d.Keys()); len(urls) != want {
 		t.Fatalf("%d URLs, want %d", len(urls), want)
 	}
-	for number, text := range urls {
-		parsed, err := url.Parse(text)
+	for index, rawURL := range urls {
+		parsed, err := url.Parse(rawURL)
 		if err != nil {
 			t.Fatal(err)
 		}
-		key := running.Keys()[number/2]
+		key := d.Keys()[index/2]
 		password, _ := parsed.User.Password()
 		got := []string{parsed.Scheme, parsed.User.Username(), password, parsed.Path}
 		want := []string{"postgres", string(key.Workspace), key.Key, "/" + string(key.Databases[0])}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("URL %d (-want +got):\n%s", number, diff)
+			t.Errorf("URL %d (-want +got):\n%s", index, diff)
 		}
 	}
 }
 
-func checkFaults(t *testing.T, running *demo.Demo) {
+func checkFaults(t *testing.T, d *demo.Demo) {
 	cases := map[string]string{
 		"":                                   "",
 		"bogus":                              `demo: fault: unknown command "bogus"; help lists the commands`,
@@ -76,48 +76,48 @@
 		"crash-primary quetzal_orders extra": `demo: fault: crash-primary: unexpected argument "extra"`,
 		"heal none":                          `demo: fault: unknown database "none"`,
 		"kill-instance":                      "demo: fault: kill-instance: argument INSTANCE is missing",
-		"kill-instance none":                 `demo: end instance: unknown instance "none"`,
+		"kill-instance none":                 `demo: stop instance: unknown instance "none"`,
 		"stop-store now":                     `demo: fault: stop-store: unexpected argument "now"`,
 	}
 	for command, want := range cases {
 		got := ""
-		if err := running.RunFaultCommand(command); err != nil {
+		if err := d.RunFaultCommand(command); err != nil {
 			got = err.Error()
 			var failed *demo.Error
 			if !errors.As(err, &failed) || failed.Kind != demo.KindCommand {
-				t.Errorf("%q: kind of %v is not %s", command, err, demo.KindCommand)
+				t.Errorf("command %q: error %v is not of kind %s", command, err, demo.KindCommand)
 			}
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Errorf("%q (-want +got):\n%s", command, diff)
 		}
 	}
-	if got := len(running.Instances()); got != 2 {
-		t.Errorf("%d instances after refused commands, want 2", got)
+	if got := len(d.Instances()); got != 2 {
+		t.Errorf("%d instances are running after invalid commands, want 2", got)
 	}
 }
 
-// TestBusyPort guards against a start that hangs, or keeps ports open, when a
-// port after the first one is taken.
+// TestBusyPort guards against a start that hangs or leaves ports open if the port of
+// the second instance is already in use.
 func TestBusyPort(t *testing.T) {
-	first, second := neighbours(t)
+	first, second := listenOnConsecutivePorts(t)
 	_ = first.Close()
 	defer second.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), startTimeout)
 	defer cancel()
 	_, err := demo.Start(ctx, options(first.Addr().String(), 2))
 	if err == nil || !strings.Contains(err.Error(), second.Addr().String()) {
-		t.Fatalf("error %v, want one that names %s", err, second.Addr())
+		t.Fatalf("Start returned error %v, want one that contains the address %s", err, second.Addr())
 	}
-	again, err := net.Listen("tcp", first.Addr().String())
+	reopened, err := net.Listen("tcp", first.Addr().String())
 	if err != nil {
-		t.Fatalf("the first port was not closed: %v", err)
+		t.Fatalf("the port of the first instance was left open: %v", err)
 	}
-	_ = again.Close()
+	_ = reopened.Close()
 }
 
-// neighbours returns listeners on two ports of which the second follows the first.
-func neighbours(t *testing.T) (first, second net.Listener) {
+// listenOnConsecutivePorts returns listeners on two consecutive ports.
+func listenOnConsecutivePorts(t *testing.T) (first, second net.Listener) {
 	t.Helper()
 	const attempts = 100
 	for range attempts {
@@ -132,6 +132,6 @@
 		}
 		_ = first.Close()
 	}
-	t.Fatalf("no two free ports in a row after %d attempts", attempts)
+	t.Fatalf("found no two consecutive free ports in %d attempts", attempts)
 	return nil, nil
 }
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -1,5 +1,5 @@
 // Package demo runs a complete deployment in one process: stand-ins for the
-// platform and for database groups, instances, and a published sheet.
+// platform and for the database groups, the instances, and a published sheet.
 package demo
 
 import (
@@ -8,9 +8,10 @@
 	"github.com/nutmegpier/nutmegpier/fleet"
 )
 
-// Deployment describes one of the deployments that the demo can run.
+// Deployment describes a sample deployment that the demo can run.
 type Deployment struct {
-	// Connections is the connection budget of each database over all instances.
+	// Connections is the connection budget of each database over all instances. It
+	// is divided among the servers of the database.
 	Connections int
 	DataCentres []fleet.DataCentre
 	Databases   []Database
@@ -18,18 +19,18 @@
 	Workspaces  []Workspace
 }
 
-// Database is one database with its sample tables.
+// Database is a database with its sample tables.
 type Database struct {
 	Group fleet.GroupID
-	// Schema holds the statements that create the sample tables.
+	// Schema holds the statements that create and fill the sample tables.
 	Schema []string
 }
 
-// Workspace is one workspace with its limits.
+// Workspace is a workspace with its rate limit.
 type Workspace struct {
 	Burst     float64
 	Databases []fleet.GroupID
-	// Rate is in requests a second.
+	// Rate is the limit in requests per second.
 	Rate      float64
 	Weight    int
 	Workspace fleet.WorkspaceID
@@ -40,7 +41,7 @@
 	slotsPerServer  = 3
 )
 
-// Delays of the stand-ins.
+// Simulated delays of the stand-in servers.
 const (
 	applyLag       = 20 * time.Millisecond
 	connectionCost = 10 * time.Millisecond
@@ -99,13 +100,14 @@
 	return databases
 }
 
-// workspaces returns workspaces of which the first two are large.
+// workspaces returns one workspace for each id. The first two get a higher rate,
+// burst and weight than the others.
 func workspaces(databases []fleet.GroupID, ids ...fleet.WorkspaceID) []Workspace {
-	const large = 2
+	const largeWorkspaces = 2
 	var list []Workspace
-	for number, id := range ids {
+	for index, id := range ids {
 		workspace := Workspace{Burst: 100, Databases: databases, Rate: 200, Weight: 1, Workspace: id}
-		if number < large {
+		if index < largeWorkspaces {
 			workspace.Burst = 400
 			workspace.Rate = 800
 			workspace.Weight = 4
--- a/demo/error.go
+++ b/demo/error.go
@@ -5,9 +5,9 @@
 
 // Kinds of errors.
 const (
-	// KindCommand means that a fault command cannot be understood.
+	// KindCommand means that a fault command is invalid or cannot be applied.
 	KindCommand Kind = "Command"
-	// KindStart means that a part of the deployment could not be started.
+	// KindStart means that part of the deployment could not be prepared or started.
 	KindStart Kind = "Start"
 )
 
@@ -19,7 +19,7 @@
 	Op string
 }
 
-// Error returns the operation and the cause.
+// Error returns the package name, the operation and the cause.
 func (e *Error) Error() string {
 	return "demo: " + e.Op + ": " + e.Err.Error()
 }
--- a/demo/external.go
+++ b/demo/external.go
@@ -13,23 +13,25 @@
 	"github.com/nutmegpier/nutmegpier/metastore"
 )
 
-// ExternalInstance is an instance that runs as a process of its own before the
-// stand-ins of the demo.
+// ExternalInstance is an instance that runs in a separate process and uses the
+// platform and the database groups of the demo.
 type ExternalInstance struct {
+	// AdminURL is the URL of the administration API.
 	AdminURL string
-	// Settings is the settings file for nutmegpier serve.
+	// SettingsPath is the path of the settings file for "nutmegpier serve".
 	SettingsPath string
-	// URLs are connection URLs, one for each workspace.
+	// URLs holds one connection URL for each workspace.
 	URLs []string
 }
 
-// AddExternalInstance writes a settings file for an instance that runs as a process
-// of its own, and adds the instance to the platform's list. The ports are free
-// when the file is written. A second file lists the URL of the administration
-// API and the connection URLs.
+// AddExternalInstance adds an instance that runs in a separate process to the
+// platform's list of instances and writes its settings file. The ports in the file are
+// free when it is written, but are not reserved. A second file lists the URL of the
+// administration API and the connection URLs. The number is part of the instance id and
+// of the file names. The process is not started.
 func (d *Demo) AddExternalInstance(directory string, number int) (ExternalInstance, error) {
 	id := fleet.InstanceID(fmt.Sprintf("serve-%d", number))
-	listeners, err := freeListeners()
+	listeners, err := listenOnFreePorts()
 	if err != nil {
 		return ExternalInstance{}, err
 	}
@@ -62,16 +64,17 @@
 	return external, nil
 }
 
-func freeListeners() (instance.Listeners, error) {
-	var opened []net.Listener
+// listenOnFreePorts opens the three listeners of an instance on any free ports.
+func listenOnFreePorts() (instance.Listeners, error) {
+	var listeners []net.Listener
 	for range 3 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return instance.Listeners{}, &Error{Op: "find a free port", Kind: KindStart, Err: err}
 		}
-		opened = append(opened, listener)
+		listeners = append(listeners, listener)
 	}
-	return instance.Listeners{Admin: opened[0], Callers: opened[1], Peers: opened[2]}, nil
+	return instance.Listeners{Admin: listeners[0], Callers: listeners[1], Peers: listeners[2]}, nil
 }
 
 func closeListeners(listeners instance.Listeners) {
--- a/demo/fault.go
+++ b/demo/fault.go
@@ -9,7 +9,8 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-// FaultHelp describes the fault commands.
+// FaultHelp lists the fault commands and their arguments, one command per line.
+// RunFaultCommand checks commands against this text.
 const FaultHelp = `crash-primary DATABASE   crash the primary of a database
 cut-primary DATABASE     cut the primary off from its group and from the instances
 pause-primary DATABASE   pause the primary
@@ -20,25 +21,27 @@
 start-store              end the outage of the store
 help                     list the commands`
 
-// instancePrefix starts the application name of each connection of an instance.
-const instancePrefix = "nutmegpier"
+// instanceApplicationPrefix is the common prefix of the application names that
+// instances set on their connections to database servers.
+const instanceApplicationPrefix = "nutmegpier"
 
-// Fault carries out a fault command.
+// RunFaultCommand runs one of the commands that FaultHelp lists. An empty command does
+// nothing.
 func (d *Demo) RunFaultCommand(command string) error {
-	words := strings.Fields(command)
-	if len(words) == 0 {
+	fields := strings.Fields(command)
+	if len(fields) == 0 {
 		return nil
 	}
-	if err := checkArguments(words); err != nil {
+	if err := checkArguments(fields); err != nil {
 		return err
 	}
-	argument := words[len(words)-1]
-	switch words[0] {
+	argument := fields[len(fields)-1]
+	switch fields[0] {
 	case "crash-primary":
 		return d.withPrimary(argument, func(_ *standin.Group, primary *standin.Server) { primary.Crash() })
 	case "cut-primary":
 		return d.withPrimary(argument, func(group *standin.Group, primary *standin.Server) {
-			group.IsolateServer(primary.ID(), instancePrefix)
+			group.IsolateServer(primary.ID(), instanceApplicationPrefix)
 		})
 	case "heal":
 		return d.heal(argument)
@@ -56,29 +59,31 @@
 	return nil
 }
 
-// checkArguments checks a command against the list in FaultHelp.
-func checkArguments(words []string) error {
+// checkArguments checks the name and the number of arguments of a command against
+// FaultHelp, in which a word in upper case after the name stands for an argument.
+func checkArguments(command []string) error {
 	fail := func(err error) error { return &Error{Op: "fault", Kind: KindCommand, Err: err} }
 	for line := range strings.Lines(FaultHelp) {
 		usage := strings.Fields(line)
-		if usage[0] != words[0] {
+		if usage[0] != command[0] {
 			continue
 		}
-		name := usage[1]
-		takesOne := name == strings.ToUpper(name)
+		argument := usage[1]
+		takesArgument := argument == strings.ToUpper(argument)
 		switch {
-		case takesOne && len(words) == 1:
-			return fail(fmt.Errorf("%s: argument %s is missing", words[0], name))
-		case takesOne && len(words) > 2:
-			return fail(fmt.Errorf("%s: unexpected argument %q", words[0], words[2]))
-		case !takesOne && len(words) > 1:
-			return fail(fmt.Errorf("%s: unexpected argument %q", words[0], words[1]))
+		case takesArgument && len(command) == 1:
+			return fail(fmt.Errorf("%s: argument %s is missing", command[0], argument))
+		case takesArgument && len(command) > 2:
+			return fail(fmt.Errorf("%s: unexpected argument %q", command[0], command[2]))
+		case !takesArgument && len(command) > 1:
+			return fail(fmt.Errorf("%s: unexpected argument %q", command[0], command[1]))
 		}
 		return nil
 	}
-	return fail(fmt.Errorf("unknown command %q; help lists the commands", words[0]))
+	return fail(fmt.Errorf("unknown command %q; help lists the commands", command[0]))
 }
 
+// withPrimary calls apply with the group of a database and the group's primary.
 func (d *Demo) withPrimary(database string, apply func(*standin.Group, *standin.Server)) error {
 	group := d.Group(fleet.GroupID(database))
 	if group == nil {
@@ -92,6 +97,7 @@
 	return nil
 }
 
+// heal undoes all faults of the servers of a database: partitions, pauses and crashes.
 func (d *Demo) heal(database string) error {
 	group := d.Group(fleet.GroupID(database))
 	if group == nil {
--- a/demo/settings.go
+++ b/demo/settings.go
@@ -9,7 +9,7 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-// settingsFile is the part of the settings file that the demo fills in. All
+// settingsFile is the part of an instance's settings file that the demo sets. All
 // other settings keep their defaults.
 type settingsFile struct {
 	Admin      adminSection
@@ -40,9 +40,10 @@
 	URL string
 }
 
-// settingsOf returns the settings of an instance, read from a settings file as
-// for a real instance.
-func (d *Demo) settingsOf(id fleet.InstanceID, dataCentre fleet.DataCentre, listeners instance.Listeners) (settings.Settings, error) {
+// parseSettings returns the settings of an instance. They are encoded as a settings
+// file and parsed, so that they get the same checks and defaults as those of a real
+// instance.
+func (d *Demo) parseSettings(id fleet.InstanceID, dataCentre fleet.DataCentre, listeners instance.Listeners) (settings.Settings, error) {
 	encoded, err := json.Marshal(d.settingsFile(id, dataCentre, listeners))
 	if err != nil {
 		return settings.Settings{}, &Error{Op: "encode settings", Kind: KindStart, Err: err}
@@ -52,7 +53,7 @@
 
 func (d *Demo) settingsFile(id fleet.InstanceID, dataCentre fleet.DataCentre, listeners instance.Listeners) settingsFile {
 	file := settingsFile{
-		Admin:      adminSection{Tokens: []settings.Token{{Role: settings.RolePublish, TokenSHA256: d.tokenSum()}}},
+		Admin:      adminSection{Tokens: []settings.Token{{Role: settings.RolePublish, TokenSHA256: d.tokenHash()}}},
 		Backend:    backendSection{User: backendUser},
 		DataCentre: dataCentre,
 		Instance:   id,
@@ -63,25 +64,27 @@
 		},
 		Platform: platformSection{URL: d.platformURL},
 	}
-	for _, running := range d.groups {
-		file.Groups = append(file.Groups, running.section())
+	for _, group := range d.groups {
+		file.Groups = append(file.Groups, group.section())
 	}
 	return file
 }
 
-// runningGroup is a group of stand-in servers with its place in a deployment.
+// runningGroup is a group of stand-in servers with its connection budget and the data
+// centres of its servers.
 type runningGroup struct {
 	connections int
+	// dataCentres are assigned to the servers in turn.
 	dataCentres []fleet.DataCentre
-	servers     *standin.Group
+	standIn     *standin.Group
 }
 
 func (g runningGroup) section() groupSection {
-	section := groupSection{Connections: g.connections, Group: g.servers.ID(), Slots: slotsPerServer}
-	for number, server := range g.servers.Servers() {
+	section := groupSection{Connections: g.connections, Group: g.standIn.ID(), Slots: slotsPerServer}
+	for index, server := range g.standIn.Servers() {
 		section.Servers = append(section.Servers, settings.Server{
 			Address:    server.Addr(),
-			DataCentre: g.dataCentres[number%len(g.dataCentres)],
+			DataCentre: g.dataCentres[index%len(g.dataCentres)],
 			Server:     server.ID(),
 		})
 	}
--- a/measure/compare.go
+++ b/measure/compare.go
@@ -7,46 +7,49 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Verdict says what a comparison of two results shows for a figure.
+// Verdict is the conclusion of a comparison of one figure in two results.
 type Verdict string
 
-// Verdicts of a comparison.
+// Verdicts of comparisons.
 const (
-	// VerdictBetter is a change for the better that noise does not explain.
+	// VerdictBetter means that the figure improved significantly.
 	VerdictBetter Verdict = "Better"
-	// VerdictNoise is a difference that noise explains.
+	// VerdictNoise means that there is no difference, or that it is not significant.
 	VerdictNoise Verdict = "Noise"
-	// VerdictTooFew is given when a side has too few samples to tell.
+	// VerdictTooFew means that one of the results has too few samples for a test.
 	VerdictTooFew Verdict = "TooFew"
-	// VerdictWorse is a change for the worse that noise does not explain.
+	// VerdictWorse means that the figure became significantly worse.
 	VerdictWorse Verdict = "Worse"
 )
 
 const (
-	// minSamples is the least number of samples for which the rank test can
-	// reach significance at the 5% level with equal sides.
+	// minSamples is the smallest number of samples with which the rank test can reach
+	// significance at the 5% level if both results have equally many.
 	minSamples = 4
-	// significance is the largest probability at which a difference is not
-	// taken as noise.
-	significance = 0.05
+	// significanceLevel is the largest p-value at which a difference counts as
+	// significant.
+	significanceLevel = 0.05
 )
 
 // Comparison compares one figure of two results.
 type Comparison struct {
-	After      float64
+	// After is the median in the second result.
+	After float64
+	// Before is the median in the first result.
 	Before     float64
 	Deployment string
 	Figure     string
-	P          float64
-	Scenario   string
-	Unit       Unit
-	Variant    string
-	Verdict    Verdict
+	// P is the p-value of the rank test. It is 1 if there are too few samples.
+	P        float64
+	Scenario string
+	Unit     Unit
+	Variant  string
+	Verdict  Verdict
 }
 
-// Compare compares the figures that both results have, in the order of the
-// second. Values are medians over the samples. The probability is that of a
-// two-sided Mann-Whitney rank test.
+// Compare compares the figures that are in both results, in the order of the second
+// result. It tests for a significant difference with a two-sided Mann-Whitney rank test
+// and reports the medians of the samples.
 func Compare(before, after *Result) []Comparison {
 	var comparisons []Comparison
 	for _, scenario := range after.Scenarios {
@@ -78,9 +81,11 @@
 	return (sorted[middle-1] + sorted[middle]) / 2
 }
 
-func findFigure(result *Result, like ScenarioResult, name string) (Figure, bool) {
+// findFigure returns the figure with the given name and with the deployment, scenario
+// and variant of key.
+func findFigure(result *Result, key ScenarioResult, name string) (Figure, bool) {
 	for _, scenario := range result.Scenarios {
-		if scenario.Scenario != like.Scenario || scenario.Variant != like.Variant || scenario.Deployment != like.Deployment {
+		if scenario.Scenario != key.Scenario || scenario.Variant != key.Variant || scenario.Deployment != key.Deployment {
 			continue
 		}
 		for _, figure := range scenario.Figures {
@@ -104,13 +109,13 @@
 		comparison.Verdict = VerdictTooFew
 		return comparison
 	}
-	comparison.P = rankTest(before.Samples, after.Samples)
-	comparison.Verdict = verdict(comparison, after.Better)
+	comparison.P = rankTestP(before.Samples, after.Samples)
+	comparison.Verdict = verdictFor(comparison, after.Better)
 	return comparison
 }
 
-func verdict(comparison Comparison, better Direction) Verdict {
-	if comparison.P > significance || comparison.Before == comparison.After {
+func verdictFor(comparison Comparison, better Direction) Verdict {
+	if comparison.P > significanceLevel || comparison.Before == comparison.After {
 		return VerdictNoise
 	}
 	higher := comparison.After > comparison.Before
@@ -120,30 +125,32 @@
 	return VerdictWorse
 }
 
-// rankTest returns the two-sided probability of the Mann-Whitney rank test by
-// enumeration-free recursion over the exact distribution, with tied ranks
-// averaged and rounded to half ranks.
-func rankTest(a, b []float64) float64 {
-	ranks := tiedRanks(a, b)
-	total := 0
+// rankTestP returns the p-value of the two-sided Mann-Whitney rank test. It computes the
+// exact distribution of the rank sum of a by dynamic programming. Tied samples get the
+// mean of their ranks.
+func rankTestP(a, b []float64) float64 {
+	ranks := doubledRanks(a, b)
+	rankSum := 0
 	for _, rank := range ranks[:len(a)] {
-		total += rank
+		rankSum += rank
 	}
 	counts := rankSumCounts(ranks, len(a))
 	mean := stat.Mean(intsToFloats(ranks), nil) * float64(len(a))
-	distance := math.Abs(float64(total) - mean)
-	var all, extreme float64
+	deviation := math.Abs(float64(rankSum) - mean)
+	var total, extreme float64
 	for sum, count := range counts {
-		all += count
-		if math.Abs(float64(sum)-mean) >= distance-1e-9 {
+		total += count
+		if math.Abs(float64(sum)-mean) >= deviation-1e-9 {
 			extreme += count
 		}
 	}
-	return extreme / all
+	return extreme / total
 }
 
-// tiedRanks returns twice the rank of each sample of a, then of b.
-func tiedRanks(a, b []float64) []int {
+// doubledRanks returns twice the rank of each sample of a, then of b, among all samples.
+// Tied samples get the mean of their ranks. Doubling makes the ranks integers, because
+// a mean rank is a multiple of one half.
+func doubledRanks(a, b []float64) []int {
 	all := slices.Concat(a, b)
 	sorted := slices.Sorted(slices.Values(all))
 	ranks := make([]int, len(all))
@@ -158,26 +165,27 @@
 	return ranks
 }
 
-// rankSumCounts returns, for each sum of ranks, the number of ways in which
-// size of the ranks have that sum.
-func rankSumCounts(ranks []int, size int) []float64 {
-	limit := 0
+// rankSumCounts returns, indexed by sum, the number of subsets of subsetSize ranks that
+// have this sum.
+func rankSumCounts(ranks []int, subsetSize int) []float64 {
+	maxSum := 0
 	for _, rank := range ranks {
-		limit += rank
+		maxSum += rank
 	}
-	ways := make([][]float64, size+1)
-	for i := range ways {
-		ways[i] = make([]float64, limit+1)
+	// subsets[n][sum] is the number of subsets of n ranks that have this sum.
+	subsets := make([][]float64, subsetSize+1)
+	for i := range subsets {
+		subsets[i] = make([]float64, maxSum+1)
 	}
-	ways[0][0] = 1
+	subsets[0][0] = 1
 	for _, rank := range ranks {
-		for chosen := size; chosen >= 1; chosen-- {
-			for sum := limit; sum >= rank; sum-- {
-				ways[chosen][sum] += ways[chosen-1][sum-rank]
+		for taken := subsetSize; taken >= 1; taken-- {
+			for sum := maxSum; sum >= rank; sum-- {
+				subsets[taken][sum] += subsets[taken-1][sum-rank]
 			}
 		}
 	}
-	return ways[size]
+	return subsets[subsetSize]
 }
 
 func intsToFloats(values []int) []float64 {
--- a/measure/compare_test.go
+++ b/measure/compare_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestCompareTellsChangeFromNoise guards against noise being reported as a
-// change, and a clear change as noise.
+// TestCompareTellsChangeFromNoise guards against noise that is reported as a change, and
+// against a clear change that is reported as noise.
 func TestCompareTellsChangeFromNoise(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -52,7 +52,8 @@
 	}
 }
 
-// TestResultRoundTrip guards against a result file that cannot be compared later.
+// TestResultRoundTrip guards against fields that are lost in the result file, so that
+// the result could not be compared later.
 func TestResultRoundTrip(t *testing.T) {
 	want := resultWith(1, 2, 3)
 	want.Started = time.Date(2026, 12, 4, 9, 0, 0, 0, time.UTC)
@@ -69,7 +70,8 @@
 	}
 }
 
-// TestReadResultRejectsOtherFormats guards against comparing files of another version.
+// TestReadResultRejectsOtherFormats guards against comparing files that are damaged or
+// have another format version or unknown fields.
 func TestReadResultRejectsOtherFormats(t *testing.T) {
 	for _, text := range []string{"", "{}", `{"Format": 2}`, `{"Format": 1, "Unknown": 3}`} {
 		if _, err := measure.ReadResult(bytes.NewBufferString(text)); err == nil {
@@ -78,9 +80,10 @@
 	}
 }
 
-// TestArrivalsAreSeeded guards against runs with one seed that differ.
+// TestArrivalsAreSeeded guards against runs with the same seed whose arrival times
+// differ, and against a wrong arrival rate.
 func TestArrivalsAreSeeded(t *testing.T) {
-	times := func() []time.Duration {
+	generate := func() []time.Duration {
 		arrivals := measure.NewArrivals(1000, 7)
 		var list []time.Duration
 		for range 10_000 {
@@ -88,9 +91,9 @@
 		}
 		return list
 	}
-	first := times()
-	if diff := cmp.Diff(first, times()); diff != "" {
-		t.Errorf("second run (-first +second):\n%s", diff)
+	first := generate()
+	if diff := cmp.Diff(first, generate()); diff != "" {
+		t.Errorf("arrival times of two runs with the same seed (-first +second):\n%s", diff)
 	}
 	if last := first[len(first)-1]; last < 9*time.Second || last > 11*time.Second {
 		t.Errorf("10000 arrivals at 1000/s took %v, want about 10 s", last)
--- a/measure/datacentreleave.go
+++ b/measure/datacentreleave.go
@@ -13,213 +13,223 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// leaveParts is the number of parts of a run, each as long as the duration:
-// before the drain, drained, and restored.
-const leaveParts = 3
+// leavePhases is the number of phases of a run: before the drain, drained, and restored.
+// Each is as long as the configured duration.
+const leavePhases = 3
 
-// runDataCentreLeave drains and restores the first data centre under mixed
-// load. The baseline has the same load without a drain.
+// runDataCentreLeave drains and restores the first data centre under mixed load. The
+// baseline is the same load without a drain.
 func runDataCentreLeave(ctx context.Context, r *repetition) error {
 	r.warmUp(ctx)
-	if err := r.leave(ctx, "Product", true); err != nil {
+	if err := r.runLeaveVariant(ctx, "Product", true); err != nil {
 		return err
 	}
-	return r.leave(ctx, "NoDrain", false)
+	return r.runLeaveVariant(ctx, "NoDrain", false)
 }
 
-// phase is a part of a run with its own latency.
-type phase struct {
+// phaseLatency holds the latencies of the requests in one phase of a run.
+type phaseLatency struct {
 	latency *LatencyHistogram
 	name    string
 }
 
-// leaveLog sorts latencies into phases and remembers the last work that began
-// in the drained data centre.
-type leaveLog struct {
-	drained   map[fleet.ServerID]bool
-	duration  time.Duration
+// leaveRecorder records the latencies of each phase and when the drained data centre
+// last got a new read or request.
+type leaveRecorder struct {
+	// drainedServers says for each server whether it is in the drained data centre.
+	drainedServers map[fleet.ServerID]bool
+	duration       time.Duration
+	// instances says for each instance whether it is in the drained data centre.
 	instances map[fleet.InstanceID]bool
-	latency   []phase
+	latency   []phaseLatency
 	start     time.Time
 
 	mu sync.Mutex
-	// lastRead is when the last read of a drained server was due.
-	lastRead time.Time
-	// lastRequest is when the last request through a drained instance was due.
-	lastRequest time.Time
+	// lastDrainedRead is when the last read that a drained server answered was due.
+	lastDrainedRead time.Time
+	// lastDrainedRequest is when the last request that succeeded through a drained
+	// instance was due.
+	lastDrainedRequest time.Time
 }
 
-func (r *repetition) leave(ctx context.Context, variant string, drain bool) error {
-	client, err := r.staying()
+// runLeaveVariant runs mixed load in all phases, with or without the drain, and reports
+// the figures of the variant.
+func (r *repetition) runLeaveVariant(ctx context.Context, variant string, drain bool) error {
+	client, err := r.clientOutsideDrainedDataCentre()
 	if err != nil {
 		return err
 	}
-	log, err := r.newLeaveLog(ctx, client)
+	recorder, err := r.newLeaveRecorder(ctx, client)
 	if err != nil {
 		return err
 	}
-	lanes := mixedLanes(r.world, baseLoad, log.probed, "")
-	for _, l := range lanes {
-		work := l.work
-		l.work = func(ctx context.Context, s *session, at arrival) error {
-			err := work(ctx, s, at)
+	streams := newMixedStreams(r.testbed, mixedLoadFraction, recorder.recordRead, "")
+	for _, st := range streams {
+		send := st.send
+		st.send = func(ctx context.Context, s *session, at request) error {
+			err := send(ctx, s, at)
 			if err == nil {
-				log.at(at.due).latency.Record(time.Since(at.due))
-				log.served(s.instance(), at)
+				recorder.at(at.due).latency.Record(time.Since(at.due))
+				recorder.recordRequest(s.instance(), at)
 			}
 			return err
 		}
 	}
-	var drainedAt, primariesAt time.Time
+	var drainedAt, primariesMovedAt time.Time
 	var drainErr error
-	var operating sync.WaitGroup
+	var draining sync.WaitGroup
 	if drain {
-		operating.Go(func() { drainedAt, primariesAt, drainErr = r.drainAndRestore(ctx, client, log) })
+		draining.Go(func() { drainedAt, primariesMovedAt, drainErr = r.drainAndRestore(ctx, client, recorder) })
 	}
-	runLoad(ctx, lanes, log.duration, r.seed)
-	operating.Wait()
+	runLoad(ctx, streams, recorder.duration, r.seed)
+	draining.Wait()
 	if drainErr != nil {
 		return drainErr
 	}
-	r.reportLeave(variant, log, lanes)
+	r.reportLeave(variant, recorder, streams)
 	if drain {
-		r.collector.millis(variant, "LastNewRead", max(0, log.lastRead.Sub(drainedAt)))
-		r.collector.millis(variant, "LastNewRequest", max(0, log.lastRequest.Sub(drainedAt)))
-		r.collector.millis(variant, "PrimariesLeft", primariesAt.Sub(drainedAt))
+		r.collector.milliseconds(variant, "LastNewRead", max(0, recorder.lastDrainedRead.Sub(drainedAt)))
+		r.collector.milliseconds(variant, "LastNewRequest", max(0, recorder.lastDrainedRequest.Sub(drainedAt)))
+		r.collector.milliseconds(variant, "PrimariesLeft", primariesMovedAt.Sub(drainedAt))
 	}
 	return nil
 }
 
-// staying returns a client for an instance outside the drained data centre.
-func (r *repetition) staying() (*operator.Client, error) {
-	leaving := r.world.deployment.DataCentres[0]
-	for _, id := range r.world.instances {
-		if r.world.demo.Instance(id).Status().DataCentre != leaving {
-			return r.world.demo.Client(id), nil
+// clientOutsideDrainedDataCentre returns a client for the administration API of an
+// instance that is not drained.
+func (r *repetition) clientOutsideDrainedDataCentre() (*operator.Client, error) {
+	drainedDataCentre := r.testbed.deployment.DataCentres[0]
+	for _, id := range r.testbed.instances {
+		if r.testbed.demo.Instance(id).Status().DataCentre != drainedDataCentre {
+			return r.testbed.demo.Client(id), nil
 		}
 	}
-	return nil, errors.New("all instances are in one data centre")
+	return nil, errors.New("all instances are in the data centre to be drained")
 }
 
-func (r *repetition) newLeaveLog(ctx context.Context, client *operator.Client) (*leaveLog, error) {
+func (r *repetition) newLeaveRecorder(ctx context.Context, client *operator.Client) (*leaveRecorder, error) {
 	status, err := client.Status(ctx)
 	if err != nil {
 		return nil, err
 	}
-	log := &leaveLog{
-		drained:   make(map[fleet.ServerID]bool),
-		duration:  leaveParts * r.duration,
-		instances: make(map[fleet.InstanceID]bool),
-		start:     time.Now(),
+	recorder := &leaveRecorder{
+		drainedServers: make(map[fleet.ServerID]bool),
+		duration:       leavePhases * r.duration,
+		instances:      make(map[fleet.InstanceID]bool),
+		start:          time.Now(),
 	}
-	for _, id := range r.world.instances {
-		log.instances[id] = r.world.demo.Instance(id).Status().DataCentre == r.world.deployment.DataCentres[0]
+	for _, id := range r.testbed.instances {
+		recorder.instances[id] = r.testbed.demo.Instance(id).Status().DataCentre == r.testbed.deployment.DataCentres[0]
 	}
 	for _, name := range []string{"Before", "Leave", "Return"} {
-		log.latency = append(log.latency, phase{latency: NewLatencyHistogram(), name: name})
+		recorder.latency = append(recorder.latency, phaseLatency{latency: NewLatencyHistogram(), name: name})
 	}
 	for _, group := range status.Groups {
 		for _, server := range group.Servers {
-			log.drained[server.Server] = server.DataCentre == r.world.deployment.DataCentres[0]
+			recorder.drainedServers[server.Server] = server.DataCentre == r.testbed.deployment.DataCentres[0]
 		}
 	}
-	return log, nil
+	return recorder, nil
 }
 
-// at returns the phase of a time.
-func (l *leaveLog) at(due time.Time) phase {
-	part := int(leaveParts * due.Sub(l.start) / l.duration)
-	return l.latency[min(max(part, 0), len(l.latency)-1)]
+// at returns the latencies of the phase in which a request is due.
+func (r *leaveRecorder) at(due time.Time) phaseLatency {
+	index := int(leavePhases * due.Sub(r.start) / r.duration)
+	return r.latency[min(max(index, 0), len(r.latency)-1)]
 }
 
-// probed notes a read by a server of the drained data centre.
-func (l *leaveLog) probed(by answeredBy, at arrival) {
-	if l.drained[by.server] {
-		l.note(&l.lastRead, at.due)
+// recordRead records a read if a server in the drained data centre answered it.
+func (r *leaveRecorder) recordRead(by servedBy, req request) {
+	if r.drainedServers[by.server] {
+		r.recordLatest(&r.lastDrainedRead, req.due)
 	}
 }
 
-// served notes a request through an instance of the drained data centre.
-func (l *leaveLog) served(by fleet.InstanceID, at arrival) {
-	if l.instances[by] {
-		l.note(&l.lastRequest, at.due)
+// recordRequest records a request if an instance in the drained data centre served it.
+func (r *leaveRecorder) recordRequest(instance fleet.InstanceID, req request) {
+	if r.instances[instance] {
+		r.recordLatest(&r.lastDrainedRequest, req.due)
 	}
 }
 
-// note remembers the latest time before the data centre returns.
-func (l *leaveLog) note(last *time.Time, due time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if due.After(*last) && due.Before(l.start.Add(2*l.duration/leaveParts)) {
+// recordLatest sets last to due if due is later and before the phase in which the data
+// centre is restored.
+func (r *leaveRecorder) recordLatest(last *time.Time, due time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if due.After(*last) && due.Before(r.start.Add(2*r.duration/leavePhases)) {
 		*last = due
 	}
 }
 
-// drainAndRestore returns when the drain was accepted and when no primary was
-// left in the data centre.
-func (r *repetition) drainAndRestore(ctx context.Context, client *operator.Client, log *leaveLog) (drained, left time.Time, err error) {
-	leaving := r.world.deployment.DataCentres[0]
-	if err := pause(ctx, time.Until(log.start.Add(log.duration/leaveParts))); err != nil {
-		return drained, left, err
+// drainAndRestore drains the first data centre at the start of the second phase and
+// restores it at the start of the third. It returns when the drain was accepted and when
+// no primary was left in the data centre.
+func (r *repetition) drainAndRestore(ctx context.Context, client *operator.Client, recorder *leaveRecorder) (drainedAt, primariesMovedAt time.Time, err error) {
+	dataCentre := r.testbed.deployment.DataCentres[0]
+	if err := sleep(ctx, time.Until(recorder.start.Add(recorder.duration/leavePhases))); err != nil {
+		return drainedAt, primariesMovedAt, err
 	}
-	publication, err := client.DrainDataCentre(ctx, leaving, true)
+	publication, err := client.DrainDataCentre(ctx, dataCentre, true)
 	if err := checkAccepted(publication, err); err != nil {
-		return drained, left, fmt.Errorf("drain: %w", err)
+		return drainedAt, primariesMovedAt, fmt.Errorf("drain the data centre: %w", err)
 	}
-	drained = time.Now()
-	waiting, cancel := context.WithTimeout(ctx, failoverTimeout)
+	drainedAt = time.Now()
+	waitCtx, cancel := context.WithTimeout(ctx, failoverTimeout)
 	defer cancel()
-	for r.hasPrimary(log) {
-		if err := pause(waiting, 5*pollPause); err != nil {
-			return drained, left, fmt.Errorf("a primary stays in %s: %w", leaving, err)
+	for r.hasPrimaryInDrainedDataCentre(recorder) {
+		if err := sleep(waitCtx, 5*pollInterval); err != nil {
+			return drainedAt, primariesMovedAt, fmt.Errorf("data centre %s still has a primary after the drain: %w", dataCentre, err)
 		}
 	}
-	left = time.Now()
-	if err := pause(ctx, time.Until(log.start.Add(2*log.duration/leaveParts))); err != nil {
-		return drained, left, err
+	primariesMovedAt = time.Now()
+	if err := sleep(ctx, time.Until(recorder.start.Add(2*recorder.duration/leavePhases))); err != nil {
+		return drainedAt, primariesMovedAt, err
 	}
-	publication, err = client.RestoreDataCentre(ctx, leaving)
+	publication, err = client.RestoreDataCentre(ctx, dataCentre)
 	if err := checkAccepted(publication, err); err != nil {
-		return drained, left, fmt.Errorf("restore: %w", err)
+		return drainedAt, primariesMovedAt, fmt.Errorf("restore the data centre: %w", err)
 	}
-	return drained, left, nil
+	return drainedAt, primariesMovedAt, nil
 }
 
-func (r *repetition) hasPrimary(log *leaveLog) bool {
-	for _, group := range r.world.databases() {
-		if primary := group.Primary(); primary == nil || log.drained[primary.ID()] {
+// hasPrimaryInDrainedDataCentre reports whether a group has its primary in the drained
+// data centre or has no primary now.
+func (r *repetition) hasPrimaryInDrainedDataCentre(recorder *leaveRecorder) bool {
+	for _, group := range r.testbed.databases() {
+		if primary := group.Primary(); primary == nil || recorder.drainedServers[primary.ID()] {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *repetition) reportLeave(variant string, log *leaveLog, lanes []*lane) {
-	sum := total(lanes)
-	moves := 0
-	for _, l := range lanes {
-		for _, s := range l.sessions {
-			moves += s.moves
+func (r *repetition) reportLeave(variant string, recorder *leaveRecorder, streams []*stream) {
+	merged := mergeStats(streams)
+	movedRequests := 0
+	for _, st := range streams {
+		for _, s := range st.sessions {
+			movedRequests += s.movedRequests
 		}
 	}
 	c := r.collector
-	for _, p := range log.latency {
-		c.millis(variant, "P50 "+p.name, p.latency.Quantile(0.5))
-		c.millis(variant, "P99 "+p.name, p.latency.Quantile(0.99))
-	}
-	c.count(variant, "FailedNotRun", int(sum.outcomes[caller.OutcomeNotRun]))
-	c.count(variant, "FailedOther", int(sum.sent-sum.done-sum.outcomes[caller.OutcomeNotRun]))
-	c.count(variant, "MovedRequests", moves)
-	r.report(variant, sum, log.duration)
+	for _, p := range recorder.latency {
+		c.milliseconds(variant, "P50 "+p.name, p.latency.Quantile(0.5))
+		c.milliseconds(variant, "P99 "+p.name, p.latency.Quantile(0.99))
+	}
+	c.count(variant, "FailedNotRun", int(merged.errorsByOutcome[caller.OutcomeNotRun]))
+	c.count(variant, "FailedOther", int(merged.sent-merged.succeeded-merged.errorsByOutcome[caller.OutcomeNotRun]))
+	c.count(variant, "MovedRequests", movedRequests)
+	r.reportLoad(variant, merged, recorder.duration)
 }
 
-// checkAccepted returns an error unless a publication took effect.
+// checkAccepted returns an error unless a publication was accepted.
 func checkAccepted(publication operator.Publication, err error) error {
 	if err != nil {
 		return err
 	}
 	if publication.Outcome != sheet.OutcomeAccepted {
-		return fmt.Errorf("outcome is %s: %v", publication.Outcome, publication.Problems)
+		return fmt.Errorf("the publication was not accepted: outcome %s, problems %v", publication.Outcome, publication.Problems)
 	}
 	return nil
 }
--- a/measure/error.go
+++ b/measure/error.go
@@ -1,24 +1,25 @@
 package measure
 
-// Kind says what sort of problem an Error reports.
+// Kind classifies an Error.
 type Kind string
 
 // Kinds of errors.
 const (
-	// KindInput is a problem with what the user gave.
+	// KindInput means that the options or an input file are invalid.
 	KindInput Kind = "Input"
-	// KindRun is a problem during a run.
+	// KindRun means that a run failed or that its result could not be written.
 	KindRun Kind = "Run"
 )
 
-// Error is the error of this package.
+// Error is the error type of this package.
 type Error struct {
 	Err  error
 	Kind Kind
-	Op   string
+	// Op is the operation that failed.
+	Op string
 }
 
-// Error returns the operation and the cause.
+// Error returns the package name, the operation and the cause.
 func (e *Error) Error() string {
 	return "measure: " + e.Op + ": " + e.Err.Error()
 }
--- a/measure/failovergap.go
+++ b/measure/failovergap.go
@@ -10,106 +10,111 @@
 )
 
 const (
-	// failoverTimeout bounds one failover, of which the requirement is 20 s.
+	// failoverTimeout bounds the wait for one failover. A failover is required to take
+	// at most 20 s.
 	failoverTimeout = 20 * time.Second
-	// steadyTime is the time that writers run before a fault and after the
-	// first success behind it.
-	steadyTime = 500 * time.Millisecond
+	// steadyDuration is how long the writers run before a fault and after the
+	// recovery from it.
+	steadyDuration = 500 * time.Millisecond
 )
 
-// failoverKind is a fault of which the gap is measured.
-type failoverKind struct {
-	// fault is a fault command; empty for none.
+// failoverVariant is a fault during which the longest gap between successful writes is
+// measured.
+type failoverVariant struct {
+	// fault is the name of a fault command of the demo, or empty for no fault.
 	fault string
 	// groups is the number of groups that the fault hits at once.
-	groups    int
+	groups int
+	// storeDown means that the platform's store is unavailable during the failover.
 	storeDown bool
-	variant   string
+	name      string
 }
 
-// failoverKinds returns the kinds in the order in which they run. NoFault is
-// the baseline: the longest time between two successes without a fault.
-func failoverKinds() []failoverKind {
-	return []failoverKind{
-		{variant: "NoFault", groups: 1},
-		{variant: "Crash", fault: "crash-primary", groups: 1},
-		{variant: "CutOff", fault: "cut-primary", groups: 1},
-		{variant: "Pause", fault: "pause-primary", groups: 1},
-		{variant: "TwoAtOnce", fault: "crash-primary", groups: 2},
-		{variant: "StoreDown", fault: "crash-primary", groups: 1, storeDown: true},
+// failoverVariants returns the variants in the order in which they run. NoFault is the
+// baseline: the longest gap between two successful writes without a fault.
+func failoverVariants() []failoverVariant {
+	return []failoverVariant{
+		{name: "NoFault", groups: 1},
+		{name: "Crash", fault: "crash-primary", groups: 1},
+		{name: "CutOff", fault: "cut-primary", groups: 1},
+		{name: "Pause", fault: "pause-primary", groups: 1},
+		{name: "TwoAtOnce", fault: "crash-primary", groups: 2},
+		{name: "StoreDown", fault: "crash-primary", groups: 1, storeDown: true},
 	}
 }
 
-// runFailoverGap measures the time without writes for each kind of fault, and
-// the parts of that time.
+// runFailoverGap measures for each fault how long writers get no successful write, and
+// how long each phase of the failover takes.
 func runFailoverGap(ctx context.Context, r *repetition) error {
-	for _, kind := range failoverKinds() {
-		if err := r.failover(ctx, kind); err != nil {
-			return fmt.Errorf("%s: %w", kind.variant, err)
+	for _, variant := range failoverVariants() {
+		if err := r.runFailoverVariant(ctx, variant); err != nil {
+			return fmt.Errorf("%s: %w", variant.name, err)
 		}
 	}
 	return nil
 }
 
-func (r *repetition) failover(ctx context.Context, kind failoverKind) error {
-	w := r.world
-	groups := w.databases()[:min(kind.groups, len(w.databases()))]
-	if kind.storeDown {
-		w.demo.Platform().SetOutage(standin.OutageFail)
-		defer w.demo.Platform().SetOutage(standin.OutageNone)
+// runFailoverVariant injects a fault under steady writes, waits for the recovery, and
+// reports the figures of the variant.
+func (r *repetition) runFailoverVariant(ctx context.Context, variant failoverVariant) error {
+	tb := r.testbed
+	groups := tb.databases()[:min(variant.groups, len(tb.databases()))]
+	if variant.storeDown {
+		tb.demo.Platform().SetOutage(standin.OutageFail)
+		defer tb.demo.Platform().SetOutage(standin.OutageNone)
 	}
 	ctx, cancel := context.WithTimeout(ctx, failoverTimeout+setupTimeout)
 	defer cancel()
-	writers := startWriters(ctx, w, groups)
+	writers := startWriters(ctx, tb, groups)
 	if err := writers.awaitSuccess(ctx, time.Now()); err != nil {
 		return err
 	}
-	if err := pause(ctx, steadyTime); err != nil {
+	if err := sleep(ctx, steadyDuration); err != nil {
 		return err
 	}
 	faultAt := time.Now()
 	for _, g := range groups {
-		if err := r.inject(kind, g); err != nil {
+		if err := r.injectFault(variant, g); err != nil {
 			return err
 		}
 	}
-	waiting, stopWaiting := context.WithTimeout(ctx, failoverTimeout)
-	err := writers.awaitAfterFault(waiting, w, groups, faultAt, kind.fault != "")
-	stopWaiting()
+	waitCtx, cancelWait := context.WithTimeout(ctx, failoverTimeout)
+	err := writers.awaitRecovery(waitCtx, tb, groups, faultAt, variant.fault != "")
+	cancelWait()
 	if err == nil {
-		err = pause(ctx, steadyTime)
+		err = sleep(ctx, steadyDuration)
 	}
 	writers.stop()
 	if err != nil {
 		return err
 	}
 	for _, g := range groups {
-		if err := w.heal(ctx, g); err != nil {
+		if err := tb.heal(ctx, g); err != nil {
 			return err
 		}
-		r.reportParts(kind, g, faultAt, writers)
-		if err := r.checkWrites(ctx, kind, g, writers); err != nil {
+		r.reportFailoverPhases(variant, g, faultAt, writers)
+		if err := r.checkWrites(ctx, variant, g, writers); err != nil {
 			return err
 		}
 	}
-	r.reportGaps(kind, faultAt, writers)
+	r.reportGaps(variant, faultAt, writers)
 	return nil
 }
 
-func (r *repetition) inject(kind failoverKind, g *standin.Group) error {
-	if kind.fault == "" {
+func (r *repetition) injectFault(variant failoverVariant, g *standin.Group) error {
+	if variant.fault == "" {
 		return nil
 	}
-	return r.world.demo.RunFaultCommand(kind.fault + " " + string(g.ID()))
+	return r.testbed.demo.RunFaultCommand(variant.fault + " " + string(g.ID()))
 }
 
-// promotionAfter returns the last promotion in a group that was decided after
-// a time and succeeded.
-func promotionAfter(w *world, g *standin.Group, at time.Time) (group.PromotionRecord, bool) {
+// lastPromotionAfter returns the successful promotion with the highest term among those
+// that were decided in a group after the given time.
+func lastPromotionAfter(tb *testbed, g *standin.Group, after time.Time) (group.PromotionRecord, bool) {
 	var last group.PromotionRecord
-	for _, id := range w.demo.Instances() {
-		for _, record := range w.demo.Instance(id).Promotions() {
-			if record.Group == g.ID() && record.DecidedAt.After(at) && !record.PromotedAt.IsZero() && record.Term > last.Term {
+	for _, id := range tb.demo.Instances() {
+		for _, record := range tb.demo.Instance(id).Promotions() {
+			if record.Group == g.ID() && record.DecidedAt.After(after) && !record.PromotedAt.IsZero() && record.Term > last.Term {
 				last = record
 			}
 		}
@@ -117,25 +122,28 @@
 	return last, last.Term > 0
 }
 
-// reportParts adds the parts of the gap of one group.
-func (r *repetition) reportParts(kind failoverKind, g *standin.Group, faultAt time.Time, writers *writers) {
-	record, found := promotionAfter(r.world, g, faultAt)
+// reportFailoverPhases reports how long detection, decision, promotion and the first
+// write of each writer took in the failover of one group.
+func (r *repetition) reportFailoverPhases(variant failoverVariant, g *standin.Group, faultAt time.Time, writers *writers) {
+	record, found := lastPromotionAfter(r.testbed, g, faultAt)
 	if !found {
 		return
 	}
 	c := r.collector
-	c.millis(kind.variant, "Detection", record.DetectedAt.Sub(faultAt))
-	c.millis(kind.variant, "Decision", record.DecidedAt.Sub(record.DetectedAt))
-	c.millis(kind.variant, "Promotion", record.PromotedAt.Sub(record.DecidedAt))
-	c.count(kind.variant, "Attempts", record.Attempts)
+	c.milliseconds(variant.name, "Detection", record.DetectedAt.Sub(faultAt))
+	c.milliseconds(variant.name, "Decision", record.DecidedAt.Sub(record.DetectedAt))
+	c.milliseconds(variant.name, "Promotion", record.PromotedAt.Sub(record.DecidedAt))
+	c.count(variant.name, "Attempts", record.Attempts)
 	for _, writer := range writers.all {
-		if first, ok := writer.firstAfter(record.PromotedAt); ok && writer.group == g {
-			c.millis(kind.variant, "FirstWrite", first.Sub(record.PromotedAt))
+		if first, ok := writer.firstSuccessAfter(record.PromotedAt); ok && writer.group == g {
+			c.milliseconds(variant.name, "FirstWrite", first.Sub(record.PromotedAt))
 		}
 	}
 }
 
-func (r *repetition) reportGaps(kind failoverKind, faultAt time.Time, writers *writers) {
+// reportGaps reports the median and the worst of the writers' longest gaps after the
+// fault, and the writers' errors.
+func (r *repetition) reportGaps(variant failoverVariant, faultAt time.Time, writers *writers) {
 	var gaps []float64
 	worst := time.Duration(0)
 	for _, writer := range writers.all {
@@ -143,24 +151,26 @@
 		gaps = append(gaps, float64(gap)/float64(time.Millisecond))
 		worst = max(worst, gap)
 	}
-	r.collector.add(kind.variant, "GapMedian", Median(gaps), UnitMilliseconds, DirectionLower)
-	r.collector.millis(kind.variant, "GapWorst", worst)
+	r.collector.add(variant.name, "GapMedian", Median(gaps), UnitMilliseconds, DirectionLower)
+	r.collector.milliseconds(variant.name, "GapWorst", worst)
 	for _, writer := range writers.all {
-		r.collector.errors(kind.variant, writer.codes)
+		r.collector.errors(variant.name, writer.errorsByCode)
 	}
 }
 
-// checkWrites compares the table with what the writers were told.
-func (r *repetition) checkWrites(ctx context.Context, kind failoverKind, g *standin.Group, writers *writers) error {
-	ids, err := column(ctx, g, "SELECT id FROM measure_marks")
+// checkWrites compares the rows in the table with the outcomes that the writers got. It
+// counts acknowledged writes that were lost, rows that were written more than once, and
+// writes that were reported as not run although their row exists.
+func (r *repetition) checkWrites(ctx context.Context, variant failoverVariant, g *standin.Group, writers *writers) error {
+	ids, err := queryFirstColumn(ctx, g, "SELECT id FROM measure_marks")
 	if err != nil {
-		return fmt.Errorf("read the table: %w", err)
+		return fmt.Errorf("read the written rows: %w", err)
 	}
 	rows := make(map[string]int)
 	for _, id := range ids {
 		rows[id]++
 	}
-	var acknowledged, lost, doubled, falseNotRun, unknown int
+	var acknowledged, lost, duplicated, falseNotRun, unknown int
 	for _, writer := range writers.all {
 		if writer.group != g {
 			continue
@@ -168,7 +178,7 @@
 		for _, write := range writer.writes {
 			count := rows[fmt.Sprint(write.id)]
 			if count > 1 {
-				doubled++
+				duplicated++
 			}
 			switch {
 			case write.state == writeAcknowledged:
@@ -182,10 +192,10 @@
 		}
 	}
 	c := r.collector
-	c.add(kind.variant, "Acknowledged", float64(acknowledged), UnitCount, DirectionHigher)
-	c.count(kind.variant, "LostAcknowledged", lost)
-	c.count(kind.variant, "Doubled", doubled)
-	c.count(kind.variant, "FalseNotRun", falseNotRun)
-	c.count(kind.variant, "Unknown", unknown)
+	c.add(variant.name, "Acknowledged", float64(acknowledged), UnitCount, DirectionHigher)
+	c.count(variant.name, "LostAcknowledged", lost)
+	c.count(variant.name, "Doubled", duplicated)
+	c.count(variant.name, "FalseNotRun", falseNotRun)
+	c.count(variant.name, "Unknown", unknown)
 	return nil
 }
--- a/measure/load.go
+++ b/measure/load.go
@@ -10,105 +10,113 @@
 	"github.com/nutmegpier/nutmegpier/caller"
 )
 
-// maxArrivals bounds the requests of one lane.
-const maxArrivals = 1_000_000
+// maxRequests bounds the requests of one stream in one run, and the pairs of statements
+// in a measurement of the overhead.
+const maxRequests = 1_000_000
 
-// lane is a stream of requests with its own sessions, so that a stream that
-// waits does not hold up another one.
-type lane struct {
-	// rate is in requests a second.
+// stream is an open-loop stream of requests. Each stream has its own sessions, so that
+// slow answers in one stream do not delay the requests of another.
+type stream struct {
+	// rate is the mean number of requests per second.
 	rate     float64
 	sessions []*session
-	tally    *tally
-	// work runs one request. It returns the error of the request.
-	work func(ctx context.Context, s *session, arrival arrival) error
+	stats    *stats
+	// send runs one request and returns its error.
+	send func(ctx context.Context, s *session, request request) error
 }
 
-// arrival is one request.
-type arrival struct {
-	// due is the time at which the request is to be sent.
+// request is one request of a stream.
+type request struct {
+	// due is the scheduled time of the request.
 	due time.Time
-	// random belongs to the session's goroutine.
+	// random is used only by the goroutine of the session.
 	random *rand.Rand
 }
 
-// tally is what a lane saw. It is safe for concurrent use.
-type tally struct {
+// stats holds the results of the requests of a stream. Its method record is safe for
+// concurrent use.
+type stats struct {
 	latency *LatencyHistogram
 
-	mu       sync.Mutex
-	codes    map[string]int64
-	done     int64
-	outcomes map[caller.Outcome]int64
-	sent     int64
+	mu              sync.Mutex
+	errorsByCode    map[string]int64
+	succeeded       int64
+	errorsByOutcome map[caller.Outcome]int64
+	sent            int64
 }
 
-func newTally() *tally {
-	return &tally{codes: make(map[string]int64), latency: NewLatencyHistogram(), outcomes: make(map[caller.Outcome]int64)}
+func newStats() *stats {
+	return &stats{errorsByCode: make(map[string]int64), latency: NewLatencyHistogram(), errorsByOutcome: make(map[caller.Outcome]int64)}
 }
 
-// record adds one request. Its latency counts from the time it was due.
-func (t *tally) record(due time.Time, err error) {
+// record adds the result of one request. The latency of a successful request counts
+// from its scheduled time, so that it includes the wait for a free session.
+func (s *stats) record(due time.Time, err error) {
 	if err == nil {
-		t.latency.Record(time.Since(due))
+		s.latency.Record(time.Since(due))
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.sent++
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.sent++
 	if err == nil {
-		t.done++
+		s.succeeded++
 		return
 	}
-	t.codes[codeOf(err)]++
-	t.outcomes[outcomeOf(err)]++
+	s.errorsByCode[codeOf(err)]++
+	s.errorsByOutcome[outcomeOf(err)]++
 }
 
-// runLoad sends open-loop requests on all lanes for a time and waits for their
-// answers. Requests that wait for a session when the time ends are still sent,
-// so their latency is not left out.
-func runLoad(ctx context.Context, lanes []*lane, duration time.Duration, seed uint64) {
+// runLoad sends the open-loop requests of all streams for the given duration and waits
+// for their answers. Requests that still wait for a session at the end of the duration
+// are sent too, so that their latency is not omitted.
+func runLoad(ctx context.Context, streams []*stream, duration time.Duration, seed uint64) {
 	start := time.Now()
-	var group sync.WaitGroup
-	for number, l := range lanes {
-		laneSeed := seed<<16 + uint64(number)
-		queue := make(chan time.Time, maxQueue(l.rate, duration))
-		group.Go(func() { l.generate(ctx, queue, start, duration, laneSeed) })
-		for i, s := range l.sessions {
-			random := rand.New(rand.NewPCG(laneSeed, uint64(i)+1))
-			group.Go(func() { l.serve(ctx, s, queue, random) })
+	var wg sync.WaitGroup
+	for index, st := range streams {
+		streamSeed := seed<<16 + uint64(index)
+		queue := make(chan time.Time, queueCapacity(st.rate, duration))
+		wg.Go(func() { st.scheduleRequests(ctx, queue, start, duration, streamSeed) })
+		for i, s := range st.sessions {
+			random := rand.New(rand.NewPCG(streamSeed, uint64(i)+1))
+			wg.Go(func() { st.sendRequests(ctx, s, queue, random) })
 		}
 	}
-	group.Wait()
+	wg.Wait()
 }
 
-// maxQueue is twice the expected number of arrivals.
-func maxQueue(rate float64, duration time.Duration) int {
-	return min(int(2*rate*duration.Seconds())+100, maxArrivals)
+// queueCapacity returns the capacity of the queue of a stream, which is also the largest
+// number of requests it schedules: twice the expected number and 100 more, but at most
+// maxRequests. With room for all requests, scheduling never waits for the sessions.
+func queueCapacity(rate float64, duration time.Duration) int {
+	return min(int(2*rate*duration.Seconds())+100, maxRequests)
 }
 
-func (l *lane) generate(ctx context.Context, queue chan<- time.Time, start time.Time, duration time.Duration, seed uint64) {
+// scheduleRequests puts the scheduled time of each request into the queue at that time
+// and closes the queue at the end.
+func (st *stream) scheduleRequests(ctx context.Context, queue chan<- time.Time, start time.Time, duration time.Duration, seed uint64) {
 	defer close(queue)
-	arrivals := NewArrivals(l.rate, seed)
+	arrivals := NewArrivals(st.rate, seed)
 	for range cap(queue) {
 		next := arrivals.Next()
 		if next >= duration {
 			return
 		}
 		due := start.Add(next)
-		if wait := time.Until(due); wait > 0 && pause(ctx, wait) != nil {
+		if wait := time.Until(due); wait > 0 && sleep(ctx, wait) != nil {
 			return
 		}
 		queue <- due
 	}
 }
 
-func (l *lane) serve(ctx context.Context, s *session, queue <-chan time.Time, random *rand.Rand) {
+// sendRequests sends requests from the queue on one session until the queue is closed.
+func (st *stream) sendRequests(ctx context.Context, s *session, queue <-chan time.Time, random *rand.Rand) {
 	defer s.close()
 	for due := range queue {
-		err := l.work(ctx, s, arrival{due: due, random: random})
+		err := st.send(ctx, s, request{due: due, random: random})
 		if ctx.Err() != nil && errors.Is(err, ctx.Err()) {
 			return
 		}
-		l.tally.record(due, err)
+		st.stats.record(due, err)
 	}
 }
--- a/measure/overhead.go
+++ b/measure/overhead.go
@@ -14,119 +14,129 @@
 )
 
 const (
-	// idleConnections is the number of idle client connections.
+	// idleConnections is the number of idle client connections over which the memory
+	// is averaged.
 	idleConnections = 2000
-	// largeRows is the number of rows of a large result.
+	// largeRows is the number of rows of the large result.
 	largeRows = 500
-	// pairPause keeps the load on a shared machine moderate.
-	pairPause = 200 * time.Microsecond
+	// pairInterval is the pause between pairs of statements. It limits the load on a
+	// machine that is shared with others.
+	pairInterval = 200 * time.Microsecond
 )
 
-// unlimitedRates keeps the rate limit out of a measurement of latency, and
-// adds a table with a large result.
-func unlimitedRates(deployment *demo.Deployment) {
+// adaptForOverhead raises the rate limits, so that they do not affect the measured
+// latency, and adds a table with a large result.
+func adaptForOverhead(deployment *demo.Deployment) {
 	workspaces := make([]demo.Workspace, len(deployment.Workspaces))
 	for i, workspace := range deployment.Workspaces {
 		workspaces[i] = workspace
 		workspaces[i].Rate, workspaces[i].Burst = 1e6, 1e6
 	}
 	deployment.Workspaces = workspaces
-	marksTable(deployment)
+	// addMarksTable also copies the databases, so that the caller's are not changed below.
+	addMarksTable(deployment)
 	rows := fmt.Sprintf("WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n WHERE i < %d) "+
 		"INSERT INTO measure_large SELECT i, 'a row of a large result, number ' || i FROM n", largeRows)
 	first := &deployment.Databases[0]
 	first.Schema = append(first.Schema, "CREATE TABLE measure_large (id INTEGER, line TEXT)", rows)
 }
 
-// statementKind is a way to run a statement.
-type statementKind struct {
-	extended bool
-	sql      string
-	variant  string
+// statementVariant is a statement and the protocol with which it is run: simple or
+// extended.
+type statementVariant struct {
+	extendedProtocol bool
+	sql              string
+	name             string
 }
 
-func statementKinds() []statementKind {
+func statementVariants() []statementVariant {
 	const large = "SELECT id, line FROM measure_large"
-	return []statementKind{
-		{variant: "SimpleSmall", sql: "SELECT 1"},
-		{variant: "ExtendedSmall", sql: "SELECT 1", extended: true},
-		{variant: "SimpleLarge", sql: large},
-		{variant: "ExtendedLarge", sql: large, extended: true},
+	return []statementVariant{
+		{name: "SimpleSmall", sql: "SELECT 1"},
+		{name: "ExtendedSmall", sql: "SELECT 1", extendedProtocol: true},
+		{name: "SimpleLarge", sql: large},
+		{name: "ExtendedLarge", sql: large, extendedProtocol: true},
 	}
 }
 
-// runOverhead runs each statement in turn on a direct connection to the server
-// and through the proxy, and measures the memory of idle connections.
+// runOverhead runs each statement alternately on a direct connection to the primary and
+// through the proxy. In the first repetition, it also measures the memory of idle
+// connections.
 func runOverhead(ctx context.Context, r *repetition) error {
-	proxied, err := r.proxiedConn(ctx)
+	proxied, err := r.connectThroughProxy(ctx)
 	if err != nil {
 		return err
 	}
 	defer proxied.Close(ctx)
-	primary := r.world.databases()[0].Primary()
+	primary := r.testbed.databases()[0].Primary()
 	if primary == nil {
-		return errors.New("no primary")
+		return errors.New("the first database group has no primary")
 	}
 	direct, err := pgconn.Connect(ctx, fmt.Sprintf("postgres://measure@%s/measure?sslmode=disable", primary.Addr()))
 	if err != nil {
 		return err
 	}
 	defer direct.Close(ctx)
-	for _, kind := range statementKinds() {
-		if err := r.overhead(ctx, kind, direct, proxied); err != nil {
-			return fmt.Errorf("%s: %w", kind.variant, err)
+	for _, variant := range statementVariants() {
+		if err := r.measureStatement(ctx, variant, direct, proxied); err != nil {
+			return fmt.Errorf("%s: %w", variant.name, err)
 		}
 	}
-	if r.number > 0 {
+	if r.index > 0 {
 		return nil
 	}
-	return r.idleMemory(ctx)
+	return r.measureIdleMemory(ctx)
 }
 
-func (r *repetition) proxiedConn(ctx context.Context) (*pgconn.PgConn, error) {
-	url := r.world.demo.URL(r.world.instances[0], r.world.keys[0], r.world.databases()[0].ID())
+// connectThroughProxy connects to the first database through the first instance.
+func (r *repetition) connectThroughProxy(ctx context.Context) (*pgconn.PgConn, error) {
+	url := r.testbed.demo.URL(r.testbed.instances[0], r.testbed.keys[0], r.testbed.databases()[0].ID())
 	return pgconn.Connect(ctx, url+"?sslmode=disable")
 }
 
-func (r *repetition) overhead(ctx context.Context, kind statementKind, direct, proxied *pgconn.PgConn) error {
+// measureStatement runs pairs of a direct and a proxied statement for the variant's part
+// of the duration. The order in a pair alternates, so that neither side always comes
+// first.
+func (r *repetition) measureStatement(ctx context.Context, variant statementVariant, direct, proxied *pgconn.PgConn) error {
 	for _, conn := range []*pgconn.PgConn{direct, proxied} {
-		if !kind.extended {
+		if !variant.extendedProtocol {
 			continue
 		}
-		if _, err := conn.Prepare(ctx, kind.variant, kind.sql, nil); err != nil {
+		if _, err := conn.Prepare(ctx, variant.name, variant.sql, nil); err != nil {
 			return err
 		}
 	}
 	directLatency, proxiedLatency := NewLatencyHistogram(), NewLatencyHistogram()
-	end := time.Now().Add(r.duration / time.Duration(len(statementKinds())))
-	for turn := 0; time.Now().Before(end) && turn < maxArrivals; turn++ {
+	end := time.Now().Add(r.duration / time.Duration(len(statementVariants())))
+	for pair := 0; time.Now().Before(end) && pair < maxRequests; pair++ {
 		first, second := direct, proxied
 		firstLatency, secondLatency := directLatency, proxiedLatency
-		if turn%2 == 1 {
+		if pair%2 == 1 {
 			first, second = second, first
 			firstLatency, secondLatency = secondLatency, firstLatency
 		}
-		if err := timeStatement(ctx, kind, first, firstLatency); err != nil {
+		if err := timeStatement(ctx, variant, first, firstLatency); err != nil {
 			return err
 		}
-		if err := timeStatement(ctx, kind, second, secondLatency); err != nil {
+		if err := timeStatement(ctx, variant, second, secondLatency); err != nil {
 			return err
 		}
-		if err := pause(ctx, pairPause); err != nil {
+		if err := sleep(ctx, pairInterval); err != nil {
 			return err
 		}
 	}
-	r.reportOverhead(kind.variant, directLatency, proxiedLatency)
+	r.reportOverhead(variant.name, directLatency, proxiedLatency)
 	return nil
 }
 
-func timeStatement(ctx context.Context, kind statementKind, conn *pgconn.PgConn, latency *LatencyHistogram) error {
+// timeStatement runs the statement on a connection and records how long it took.
+func timeStatement(ctx context.Context, variant statementVariant, conn *pgconn.PgConn, latency *LatencyHistogram) error {
 	start := time.Now()
 	var err error
-	if kind.extended {
-		err = conn.ExecPrepared(ctx, kind.variant, nil, nil, nil).Read().Err
+	if variant.extendedProtocol {
+		err = conn.ExecPrepared(ctx, variant.name, nil, nil, nil).Read().Err
 	} else {
-		_, err = conn.Exec(ctx, kind.sql).ReadAll()
+		_, err = conn.Exec(ctx, variant.sql).ReadAll()
 	}
 	latency.Record(time.Since(start))
 	return err
@@ -148,9 +158,10 @@
 	c.series(variant+" Direct", direct.Series("Latency"))
 }
 
-// idleMemory opens idle client connections and divides the growth of heap and
-// stacks by their number. The client keeps only its socket.
-func (r *repetition) idleMemory(ctx context.Context) error {
+// measureIdleMemory opens idle client connections and reports by how many bytes the heap
+// and the stacks of the process grow for each. The client side runs in the same process,
+// so it keeps only its socket.
+func (r *repetition) measureIdleMemory(ctx context.Context) error {
 	var conns []net.Conn
 	defer func() {
 		for _, conn := range conns {
@@ -158,23 +169,25 @@
 		}
 	}()
 	before := memoryInUse()
-	for number := range idleConnections {
-		conn, err := r.idleConn(ctx, number)
+	for index := range idleConnections {
+		conn, err := r.openIdleConn(ctx, index)
 		if err != nil {
-			return fmt.Errorf("idle connection %d: %w", number+1, err)
+			return fmt.Errorf("idle connection %d: %w", index+1, err)
 		}
 		conns = append(conns, conn)
 	}
-	grown := memoryInUse() - before
-	r.collector.add("Idle", "BytesPerConnection", grown/idleConnections, UnitBytes, DirectionLower)
+	growth := memoryInUse() - before
+	r.collector.add("Idle", "BytesPerConnection", growth/idleConnections, UnitBytes, DirectionLower)
 	r.collector.add("Idle", "Connections", idleConnections, UnitCount, DirectionHigher)
 	return nil
 }
 
-func (r *repetition) idleConn(ctx context.Context, number int) (net.Conn, error) {
-	w := r.world
-	key := w.keys[number%len(w.keys)]
-	url := w.demo.URL(w.instances[number%len(w.instances)], key, key.Databases[0])
+// openIdleConn opens a connection through an instance and returns its socket, without
+// the buffers of the client library.
+func (r *repetition) openIdleConn(ctx context.Context, index int) (net.Conn, error) {
+	tb := r.testbed
+	key := tb.keys[index%len(tb.keys)]
+	url := tb.demo.URL(tb.instances[index%len(tb.instances)], key, key.Databases[0])
 	conn, err := pgconn.Connect(ctx, url+"?sslmode=disable")
 	if err != nil {
 		return nil, err
@@ -186,7 +199,7 @@
 	return hijacked.Conn, nil
 }
 
-// memoryInUse returns the bytes of live heap and of stacks.
+// memoryInUse returns the bytes of live heap objects and of stacks.
 func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
--- a/measure/replicashare.go
+++ b/measure/replicashare.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// primaryHint sends a read to the primary.
-const primaryHint = "/* nutmegpier: primary */ "
+// primaryRoutingHint is the SQL comment that makes the proxy send a read to the primary.
+const primaryRoutingHint = "/* nutmegpier: primary */ "
 
-// runReplicaShare measures the share of reads that replicas serve under mixed
-// load. The baseline sends all reads to the primary.
+// runReplicaShare measures which share of the reads replicas answer under mixed load.
+// The baseline sends all reads to the primary.
 func runReplicaShare(ctx context.Context, r *repetition) error {
 	r.warmUp(ctx)
-	r.replicaShare(ctx, "Product", "")
-	r.replicaShare(ctx, "PrimaryReads", primaryHint)
+	r.measureReplicaShare(ctx, "Product", "")
+	r.measureReplicaShare(ctx, "PrimaryReads", primaryRoutingHint)
 	return nil
 }
 
-func (r *repetition) replicaShare(ctx context.Context, variant, hint string) {
-	var primary, replica atomic.Int64
-	lanes := mixedLanes(r.world, baseLoad, func(by answeredBy, _ arrival) {
+func (r *repetition) measureReplicaShare(ctx context.Context, variant, hint string) {
+	var primaryReads, replicaReads atomic.Int64
+	streams := newMixedStreams(r.testbed, mixedLoadFraction, func(by servedBy, _ request) {
 		if by.role == "Primary" {
-			primary.Add(1)
+			primaryReads.Add(1)
 			return
 		}
-		replica.Add(1)
+		replicaReads.Add(1)
 	}, hint)
-	runLoad(ctx, lanes, r.duration, r.seed)
+	runLoad(ctx, streams, r.duration, r.seed)
 	c := r.collector
-	c.percent(variant, "ReplicaShare", replica.Load(), primary.Load()+replica.Load(), DirectionHigher)
-	r.report(variant, total(lanes), r.duration)
+	c.percent(variant, "ReplicaShare", replicaReads.Load(), primaryReads.Load()+replicaReads.Load(), DirectionHigher)
+	r.reportLoad(variant, mergeStats(streams), r.duration)
 }
 
-// report adds the latency, goodput and errors of a tally over a time.
-func (r *repetition) report(variant string, sum *tally, duration time.Duration) {
+// reportLoad reports the goodput, latency and errors of requests that were sent during
+// the given duration.
+func (r *repetition) reportLoad(variant string, merged *stats, duration time.Duration) {
 	c := r.collector
-	c.add(variant, "Goodput", float64(sum.done)/duration.Seconds(), UnitPerSecond, DirectionHigher)
-	c.millis(variant, "P50", sum.latency.Quantile(0.5))
-	c.millis(variant, "P99", sum.latency.Quantile(0.99))
-	c.percent(variant, "Failed", sum.sent-sum.done, sum.sent, DirectionLower)
-	c.errors(variant, sum.codes)
-	c.series(variant, sum.latency.Series("Latency"))
+	c.add(variant, "Goodput", float64(merged.succeeded)/duration.Seconds(), UnitPerSecond, DirectionHigher)
+	c.milliseconds(variant, "P50", merged.latency.Quantile(0.5))
+	c.milliseconds(variant, "P99", merged.latency.Quantile(0.99))
+	c.percent(variant, "Failed", merged.sent-merged.succeeded, merged.sent, DirectionLower)
+	c.errors(variant, merged.errorsByCode)
+	c.series(variant, merged.latency.Series("Latency"))
 }
--- a/measure/report.go
+++ b/measure/report.go
@@ -48,6 +48,7 @@
 </html>
 `))
 
+// reportPage is the data of the template.
 type reportPage struct {
 	Command  string
 	Machine  string
@@ -57,6 +58,7 @@
 	Version  string
 }
 
+// reportRow is a table row with the statistics of one figure.
 type reportRow struct {
 	Figure  string
 	Largest string
@@ -67,6 +69,7 @@
 	Variant string
 }
 
+// reportSection is the section of one scenario on one deployment.
 type reportSection struct {
 	Plots []template.HTML
 	Rows  []reportRow
@@ -75,12 +78,14 @@
 	lines []plotLine
 }
 
+// plotLine is a line of a plot: the series of one variant.
 type plotLine struct {
 	series  Series
 	variant string
 }
 
-// WriteReport writes the result as an HTML page with its plots as SVG in it.
+// WriteReport writes the result as an HTML page with a table and SVG plots for each
+// scenario.
 func WriteReport(w io.Writer, result *Result) error {
 	page := reportPage{
 		Command: result.Command,
@@ -91,10 +96,10 @@
 	}
 	for _, scenario := range result.Scenarios {
 		section := page.section(strings.TrimSpace(scenario.Deployment + " " + scenario.Scenario))
-		section.add(scenario)
+		section.addScenario(scenario)
 	}
 	for _, section := range page.Sections {
-		if err := section.draw(); err != nil {
+		if err := section.drawPlots(); err != nil {
 			return &Error{Op: "draw " + section.Title, Kind: KindRun, Err: err}
 		}
 	}
@@ -104,7 +109,7 @@
 	return nil
 }
 
-// section returns the section with the title, which is added when missing.
+// section returns the section with the title, which it adds if there is none.
 func (p *reportPage) section(title string) *reportSection {
 	for _, section := range p.Sections {
 		if section.Title == title {
@@ -116,7 +121,7 @@
 	return section
 }
 
-func (s *reportSection) add(scenario ScenarioResult) {
+func (s *reportSection) addScenario(scenario ScenarioResult) {
 	for _, figure := range scenario.Figures {
 		s.Rows = append(s.Rows, newReportRow(scenario.Variant, figure))
 	}
@@ -125,48 +130,49 @@
 	}
 }
 
-// draw makes one plot for each name of a series, with a line for each variant.
-func (s *reportSection) draw() error {
+// drawPlots draws one plot for each series name, with a line for each variant.
+func (s *reportSection) drawPlots() error {
 	drawn := make(map[string]bool)
 	for _, line := range s.lines {
 		if drawn[line.series.Name] {
 			continue
 		}
 		drawn[line.series.Name] = true
-		image, err := s.plot(line.series)
+		svg, err := s.plot(line.series)
 		if err != nil {
 			return err
 		}
-		s.Plots = append(s.Plots, image)
+		s.Plots = append(s.Plots, svg)
 	}
 	return nil
 }
 
-func (s *reportSection) plot(like Series) (template.HTML, error) {
+// plot draws all series that have the same name as the given one, whose labels it uses.
+func (s *reportSection) plot(axes Series) (template.HTML, error) {
 	p := plot.New()
-	p.Title.Text = like.Name
-	p.X.Label.Text = like.XLabel
-	p.Y.Label.Text = like.YLabel
+	p.Title.Text = axes.Name
+	p.X.Label.Text = axes.XLabel
+	p.Y.Label.Text = axes.YLabel
 	p.Legend.Top = true
 	p.Legend.Left = true
 	var lines []any
 	for _, line := range s.lines {
-		if line.series.Name == like.Name {
+		if line.series.Name == axes.Name {
 			lines = append(lines, line.variant, plotPoints(line.series))
 		}
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
-		return "", fmt.Errorf("plot %s: %w", like.Name, err)
+		return "", fmt.Errorf("plot %s: %w", axes.Name, err)
 	}
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
 	var buffer bytes.Buffer
 	if _, err := canvas.WriteTo(&buffer); err != nil {
-		return "", fmt.Errorf("plot %s: %w", like.Name, err)
+		return "", fmt.Errorf("plot %s: %w", axes.Name, err)
 	}
 	_, svg, found := strings.Cut(buffer.String(), "<svg")
 	if !found {
-		return "", fmt.Errorf("plot %s: no SVG element", like.Name)
+		return "", fmt.Errorf("plot %s: the output has no SVG element", axes.Name)
 	}
 	return template.HTML("<svg" + svg), nil
 }
--- a/measure/report_test.go
+++ b/measure/report_test.go
@@ -8,8 +8,8 @@
 	"github.com/nutmegpier/nutmegpier/measure"
 )
 
-// TestReportHoldsFiguresAndPlots guards against a report that drops a variant
-// or its plot.
+// TestReportHoldsFiguresAndPlots guards against a report without the figures of a
+// variant or without the plot.
 func TestReportHoldsFiguresAndPlots(t *testing.T) {
 	result := resultWith(1, 2, 4)
 	baseline := result.Scenarios[0]
@@ -27,7 +27,7 @@
 	}
 	for text, want := range map[string]int{"<svg": 1, "<td>Product</td>": 1, "<td>Baseline</td>": 1, ">Gaps<": 1} {
 		if got := strings.Count(page.String(), text); got != want {
-			t.Errorf("report holds %q %d times, want %d", text, got, want)
+			t.Errorf("report contains %q %d times, want %d", text, got, want)
 		}
 	}
 }
--- a/measure/result.go
+++ b/measure/result.go
@@ -1,5 +1,6 @@
-// Package measure is the load and experiment tool. It runs scenarios on
-// instances and stand-ins over loopback and reports what it saw.
+// Package measure runs load tests and experiments. Each scenario runs on instances and
+// on stand-ins for the platform and the database servers, in one process over loopback.
+// Results are stored as JSON, reported as HTML, and compared with each other.
 package measure
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// ResultFormat is the version of the JSON form of a Result.
+// ResultFormat is the version of the JSON format of a Result.
 const ResultFormat = 1
 
 // Unit is the unit of a figure.
@@ -25,19 +26,19 @@
 	UnitPerSecond    Unit = "1/s"
 )
 
-// Direction says which way a figure improves.
+// Direction says whether higher or lower values of a figure are better.
 type Direction string
 
-// Directions of improvement.
+// Directions in which figures improve.
 const (
-	// DirectionHigher is for figures that are better when larger.
+	// DirectionHigher means that higher values are better.
 	DirectionHigher Direction = "Higher"
-	// DirectionLower is for figures that are better when smaller.
+	// DirectionLower means that lower values are better.
 	DirectionLower Direction = "Lower"
 )
 
-// Figure is one measured quantity of a scenario. Samples holds one value for
-// each repetition.
+// Figure is one measured quantity of a variant of a scenario. Samples holds the values
+// of all repetitions, usually one for each.
 type Figure struct {
 	Better  Direction
 	Name    string
@@ -50,7 +51,7 @@
 	X, Y float64
 }
 
-// Series is a line of a plot.
+// Series is a list of points that is drawn as a line in a plot.
 type Series struct {
 	Name   string
 	Points []Point
@@ -58,8 +59,9 @@
 	YLabel string
 }
 
-// ScenarioResult is what one variant of a scenario showed. The product and its
-// baselines are variants of the same scenario and run in the same process.
+// ScenarioResult is the result of one variant of a scenario on one deployment. The
+// product and its baselines are variants of the same scenario and run in the same
+// process.
 type ScenarioResult struct {
 	Deployment string
 	Errors     []ErrorCount
@@ -69,13 +71,14 @@
 	Variant    string
 }
 
-// ErrorCount counts the requests that ended with an SQLSTATE.
+// ErrorCount is the number of requests that failed with an SQLSTATE, or with a
+// connection error.
 type ErrorCount struct {
 	Code  string
 	Count int64
 }
 
-// Result is the outcome of one run of the tool.
+// Result is the result of one run.
 type Result struct {
 	Command  string
 	Duration time.Duration
@@ -88,7 +91,8 @@
 	Scenarios []ScenarioResult
 }
 
-// ReadResult reads the JSON form of a result and checks its version.
+// ReadResult reads a result in JSON. It rejects unknown fields and other format
+// versions.
 func ReadResult(r io.Reader) (*Result, error) {
 	decoder := json.NewDecoder(r)
 	decoder.DisallowUnknownFields()
@@ -97,12 +101,12 @@
 		return nil, &Error{Op: "read result", Kind: KindInput, Err: err}
 	}
 	if result.Format != ResultFormat {
-		return nil, &Error{Op: "read result", Kind: KindInput, Err: fmt.Errorf("format is %d, want %d", result.Format, ResultFormat)}
+		return nil, &Error{Op: "read result", Kind: KindInput, Err: fmt.Errorf("the format version is %d, want %d", result.Format, ResultFormat)}
 	}
 	return &result, nil
 }
 
-// Write writes the JSON form.
+// Write writes the result as JSON.
 func (r *Result) Write(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
--- a/measure/run.go
+++ b/measure/run.go
@@ -15,56 +15,62 @@
 // DefaultInstances is the number of instances of each deployment.
 const DefaultInstances = 9
 
-// maxDuration bounds one variant of one repetition.
+// maxDuration bounds Options.Duration.
 const maxDuration = 10 * time.Minute
 
-// Options say what a run does.
+// Options configure a run.
 type Options struct {
-	// Command is the command line, for the result.
+	// Command is the command line that is recorded in the result.
 	Command string
 	// Deployments are run one after the other.
 	Deployments []demo.Deployment
-	// Duration is the length of each variant in each repetition.
+	// Duration is how long the load of one variant runs in one repetition. Some
+	// scenarios divide or multiply it, or wait for events instead.
 	Duration time.Duration
 	// Instances is the number of instances of each deployment.
 	Instances int
-	// Progress receives a line for each step.
+	// Progress receives a line when a deployment and a repetition start. It may be nil.
 	Progress io.Writer
 	// Repeat is the number of repetitions.
 	Repeat int
-	// Scenarios are the names to run, in the order of Scenarios.
+	// Scenarios holds the names of the scenarios to run. They run in the order of the
+	// function Scenarios.
 	Scenarios []string
-	Seed      uint64
-	Version   string
+	// Seed seeds the arrival times and the mix of requests. Each repetition adds its
+	// index to it.
+	Seed uint64
+	// Version is the program version that is recorded in the result.
+	Version string
 }
 
-// scenario is an experiment on one deployment.
+// scenario is an experiment that runs on one deployment.
 type scenario struct {
-	// adapt changes the deployment before it starts. It may be nil.
-	adapt func(*demo.Deployment)
-	name  string
-	// run does one repetition of all variants.
+	// adaptDeployment changes the deployment before it starts. It may be nil.
+	adaptDeployment func(*demo.Deployment)
+	name            string
+	// run runs all variants once and adds their figures to the collector.
 	run func(ctx context.Context, r *repetition) error
 }
 
-// repetition is what one repetition of a scenario gets.
+// repetition holds the parameters of one repetition of a scenario.
 type repetition struct {
 	collector *collector
 	duration  time.Duration
-	number    int
-	seed      uint64
-	world     *world
+	// index is the number of earlier repetitions.
+	index   int
+	seed    uint64
+	testbed *testbed
 }
 
 // scenarios returns all scenarios in the order in which they run.
 func scenarios() []scenario {
 	return []scenario{
-		{name: "ReplicaShare", run: runReplicaShare, adapt: marksTable},
-		{name: "FailoverGap", run: runFailoverGap, adapt: marksTable},
-		{name: "WorstWorkspace", run: runWorstWorkspace, adapt: marksTable},
+		{name: "ReplicaShare", run: runReplicaShare, adaptDeployment: addMarksTable},
+		{name: "FailoverGap", run: runFailoverGap, adaptDeployment: addMarksTable},
+		{name: "WorstWorkspace", run: runWorstWorkspace, adaptDeployment: addMarksTable},
 		{name: "WrongfulRefusals", run: runWrongfulRefusals},
-		{name: "DataCentreLeave", run: runDataCentreLeave, adapt: marksTable},
-		{name: "Overhead", run: runOverhead, adapt: unlimitedRates},
+		{name: "DataCentreLeave", run: runDataCentreLeave, adaptDeployment: addMarksTable},
+		{name: "Overhead", run: runOverhead, adaptDeployment: adaptForOverhead},
 		{name: "SheetSpread", run: runSheetSpread},
 		{name: "Control", run: runControl},
 	}
@@ -81,7 +87,7 @@
 
 // Run runs the scenarios on each deployment.
 func Run(ctx context.Context, options Options) (*Result, error) {
-	if err := options.check(); err != nil {
+	if err := options.validate(); err != nil {
 		return nil, &Error{Op: "check options", Kind: KindInput, Err: err}
 	}
 	result := &Result{
@@ -98,17 +104,17 @@
 			continue
 		}
 		for _, deployment := range options.Deployments {
-			collected, err := options.runScenario(ctx, s, deployment)
+			results, err := options.runScenario(ctx, s, deployment)
 			if err != nil {
 				return nil, &Error{Op: "run " + s.name + " on " + deployment.Name, Kind: KindRun, Err: err}
 			}
-			result.Scenarios = append(result.Scenarios, collected...)
+			result.Scenarios = append(result.Scenarios, results...)
 		}
 	}
 	return result, nil
 }
 
-func (o Options) check() error {
+func (o Options) validate() error {
 	for _, name := range o.Scenarios {
 		if !slices.Contains(Scenarios(), name) {
 			return fmt.Errorf("unknown scenario %q, want one of %s", name, strings.Join(Scenarios(), ", "))
@@ -116,34 +122,35 @@
 	}
 	switch {
 	case o.Duration <= 0 || o.Duration > maxDuration:
-		return fmt.Errorf("duration %v: want more than 0 and at most %v", o.Duration, maxDuration)
+		return fmt.Errorf("the duration is %v, want more than 0 and at most %v", o.Duration, maxDuration)
 	case o.Instances < 1:
-		return fmt.Errorf("%d instances: want at least 1", o.Instances)
+		return fmt.Errorf("the number of instances is %d, want at least 1", o.Instances)
 	case o.Repeat < 1:
-		return fmt.Errorf("%d repetitions: want at least 1", o.Repeat)
+		return fmt.Errorf("the number of repetitions is %d, want at least 1", o.Repeat)
 	}
 	return nil
 }
 
+// runScenario starts the deployment and runs all repetitions of the scenario on it.
 func (o Options) runScenario(ctx context.Context, s scenario, deployment demo.Deployment) ([]ScenarioResult, error) {
-	if s.adapt != nil {
-		s.adapt(&deployment)
+	if s.adaptDeployment != nil {
+		s.adaptDeployment(&deployment)
 	}
-	o.progress("%s on %s: start of %d instances", s.name, deployment.Name, o.Instances)
-	w, err := startWorld(ctx, deployment, o.Instances)
+	o.logProgress("%s on %s: starting %d instances", s.name, deployment.Name, o.Instances)
+	tb, err := startTestbed(ctx, deployment, o.Instances)
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
+	defer tb.close()
 	collected := newCollector(deployment.Name, s.name)
-	for number := range o.Repeat {
-		o.progress("%s on %s: repetition %d of %d", s.name, deployment.Name, number+1, o.Repeat)
+	for index := range o.Repeat {
+		o.logProgress("%s on %s: repetition %d of %d", s.name, deployment.Name, index+1, o.Repeat)
 		r := &repetition{
 			collector: collected,
 			duration:  o.Duration,
-			number:    number,
-			seed:      o.Seed + uint64(number),
-			world:     w,
+			index:     index,
+			seed:      o.Seed + uint64(index),
+			testbed:   tb,
 		}
 		if err := s.run(ctx, r); err != nil {
 			return nil, err
@@ -152,7 +159,7 @@
 	return collected.results, nil
 }
 
-func (o Options) progress(format string, arguments ...any) {
+func (o Options) logProgress(format string, arguments ...any) {
 	if o.Progress != nil {
 		fmt.Fprintf(o.Progress, time.Now().Format(time.TimeOnly)+" "+format+"\n", arguments...)
 	}
--- a/measure/run_test.go
+++ b/measure/run_test.go
@@ -8,8 +8,8 @@
 	"github.com/nutmegpier/nutmegpier/measure"
 )
 
-// TestRunCollectsFigures guards against a scenario that runs without requests
-// or loses its baseline.
+// TestRunCollectsFigures guards against a scenario that sends no requests or has no
+// baseline, and against reads of the baseline that are not sent to the primary.
 func TestRunCollectsFigures(t *testing.T) {
 	result, err := measure.Run(t.Context(), measure.Options{
 		Deployments: demo.Deployments()[:1],
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestRunFindsNoOverAdmission guards against admissions above burst and rate,
-// and against a comparison with the central bucket that has no arrivals.
+// TestRunFindsNoOverAdmission guards against admissions above the burst and the rate,
+// and against a scenario that compares no requests with the central bucket.
 func TestRunFindsNoOverAdmission(t *testing.T) {
 	result, err := measure.Run(t.Context(), measure.Options{
 		Deployments: demo.Deployments()[:1],
@@ -71,7 +71,8 @@
 	}
 }
 
-// TestRunRejectsOptions guards against runs that are unbounded or do nothing.
+// TestRunRejectsOptions guards against options with which a run would take too long or
+// measure nothing.
 func TestRunRejectsOptions(t *testing.T) {
 	good := measure.Options{Duration: time.Second, Instances: 1, Repeat: 1}
 	for name, edit := range map[string]func(*measure.Options){
--- a/measure/session.go
+++ b/measure/session.go
@@ -17,37 +17,42 @@
 	// requestTimeout bounds one request. It is above the commit bound, so that
 	// the proxy reports an unknown outcome before the client gives up.
 	requestTimeout = 10 * time.Second
-	// codeConnection stands for an error without an SQLSTATE.
+	// codeConnection is the code of errors without an SQLSTATE in the results.
 	codeConnection = "connection"
-	// codeShutdown and codeNotServing tell a client to go to another instance.
+	// codeShutdown and codeNotServing are the SQLSTATEs with which an instance tells
+	// a client to use another instance.
 	codeShutdown   = "57P01"
 	codeNotServing = "57P03"
-	codeRate       = "53400"
+	// codeRateExceeded is the SQLSTATE of requests above the rate limit.
+	codeRateExceeded = "53400"
 )
 
-// session is a client session that takes its token from instance to instance.
-// It is used by one goroutine.
+// session is a client session that keeps its session token when it switches to another
+// instance. It is not safe for concurrent use.
 type session struct {
 	conn     *pgconn.PgConn
 	database fleet.GroupID
 	key      demo.WorkspaceKey
-	// moves counts the requests that were sent again because the instance did
-	// not run them for its shutdown.
-	moves int
-	place int
-	// roamEvery is the number of requests after which the session goes to the
+	// movedRequests counts the requests that were sent again to another instance
+	// because an instance that accepts no new work did not run them.
+	movedRequests int
+	// instanceIndex, modulo the number of instances, is the index of the instance.
+	instanceIndex int
+	// switchEvery is the number of requests after which the session switches to the
 	// next instance. Zero means never.
-	roamEvery int
-	token     string
-	used      int
-	world     *world
+	switchEvery int
+	// token is the latest session token that an instance reported.
+	token string
+	// requests counts the requests, of which each counts once also if it was moved.
+	requests int
+	testbed  *testbed
 }
 
-func newSession(w *world, key demo.WorkspaceKey, database fleet.GroupID, place, roamEvery int) *session {
-	return &session{database: database, key: key, place: place, roamEvery: roamEvery, world: w}
+func newSession(tb *testbed, key demo.WorkspaceKey, database fleet.GroupID, instanceIndex, switchEvery int) *session {
+	return &session{database: database, key: key, instanceIndex: instanceIndex, switchEvery: switchEvery, testbed: tb}
 }
 
-// close ends the connection.
+// close closes the connection, if there is one.
 func (s *session) close() {
 	if s.conn == nil {
 		return
@@ -58,12 +63,12 @@
 	s.conn = nil
 }
 
-// connect opens a connection if there is none.
+// connect opens a connection to the current instance if there is none.
 func (s *session) connect(ctx context.Context) error {
 	if s.conn != nil && !s.conn.IsClosed() {
 		return nil
 	}
-	config, err := pgconn.ParseConfig(s.world.demo.URL(s.instance(), s.key, s.database) + "?sslmode=disable")
+	config, err := pgconn.ParseConfig(s.testbed.demo.URL(s.instance(), s.key, s.database) + "?sslmode=disable")
 	if err != nil {
 		return err
 	}
@@ -74,42 +79,45 @@
 	return err
 }
 
-// instance returns the instance that the session uses.
+// instance returns the current instance of the session.
 func (s *session) instance() fleet.InstanceID {
-	return s.world.instances[s.place%len(s.world.instances)]
+	return s.testbed.instances[s.instanceIndex%len(s.testbed.instances)]
 }
 
-// exec runs a statement. A request that an instance did not run because it
-// takes no new work is sent to each other instance at most once.
+// exec runs a statement. If an instance did not run it because it accepts no new work,
+// the statement is sent to the next instance, and to each instance at most once.
 func (s *session) exec(ctx context.Context, sql string) ([]*pgconn.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	s.used++
-	if s.roamEvery > 0 && s.used%s.roamEvery == 0 {
-		s.move()
+	s.requests++
+	if s.switchEvery > 0 && s.requests%s.switchEvery == 0 {
+		s.switchInstance()
 	}
 	var err error
-	for range s.world.instances {
+	for range s.testbed.instances {
 		var results []*pgconn.Result
-		results, err = s.try(ctx, sql)
+		results, err = s.execOnce(ctx, sql)
 		if err == nil {
 			return results, nil
 		}
-		if !mayMove(err) {
+		if !canRunElsewhere(err) {
 			return nil, err
 		}
-		s.moves++
-		s.move()
+		s.movedRequests++
+		s.switchInstance()
 	}
 	return nil, err
 }
 
-func (s *session) move() {
+// switchInstance closes the connection and makes the next instance the current one.
+func (s *session) switchInstance() {
 	s.close()
-	s.place++
+	s.instanceIndex++
 }
 
-func (s *session) try(ctx context.Context, sql string) ([]*pgconn.Result, error) {
+// execOnce runs a statement on the current instance and keeps the session token that
+// the instance reports.
+func (s *session) execOnce(ctx context.Context, sql string) ([]*pgconn.Result, error) {
 	if err := s.connect(ctx); err != nil {
 		return nil, err
 	}
@@ -123,8 +131,9 @@
 	return results, err
 }
 
-// mayMove reports whether another instance can run the request.
-func mayMove(err error) bool {
+// canRunElsewhere reports whether a request that failed can be sent to another instance:
+// its instance accepts no new work and did not run it.
+func canRunElsewhere(err error) bool {
 	code := codeOf(err)
 	if code != codeShutdown && code != codeNotServing {
 		return false
@@ -137,7 +146,7 @@
 	return errors.As(err, &connectError)
 }
 
-// codeOf returns the SQLSTATE of an error.
+// codeOf returns the SQLSTATE of an error, or codeConnection if it has none.
 func codeOf(err error) string {
 	var reported *pgconn.PgError
 	if errors.As(err, &reported) {
@@ -146,8 +155,8 @@
 	return codeConnection
 }
 
-// outcomeOf returns the outcome that an error states. An error without an
-// outcome leaves it unknown, unless nothing was sent.
+// outcomeOf returns the outcome that the proxy reports in the detail of an error. The
+// outcome of other errors is unknown, unless the request was certainly not sent.
 func outcomeOf(err error) caller.Outcome {
 	var reported *pgconn.PgError
 	if errors.As(err, &reported) {
--- a/measure/sheetspread.go
+++ b/measure/sheetspread.go
@@ -15,66 +15,70 @@
 )
 
 const (
-	// slowStore is the delay of each call to the store in the slow variant.
-	slowStore = 200 * time.Millisecond
-	// withdrawalTimeout bounds the wait for the end of a withdrawn key.
+	// slowStoreDelay is the delay of each call to the store in the variant StoreSlow.
+	slowStoreDelay = 200 * time.Millisecond
+	// withdrawalTimeout bounds the time until no session of a withdrawn key is served
+	// any more.
 	withdrawalTimeout = 20 * time.Second
-	// withdrawalProbes is the number of open sessions of a withdrawn key.
-	withdrawalProbes = 9
+	// withdrawalSessions is the number of sessions that are open when their key is
+	// withdrawn.
+	withdrawalSessions = 9
 )
 
-// runSheetSpread measures how fast a published sheet is in force on all
-// instances. The variant with the store up is the baseline of the other two.
+// runSheetSpread measures how long it takes until a published sheet is in force on all
+// instances and until a withdrawn key is refused. StoreUp is the baseline of StoreSlow
+// and StoreDownAfterAccept, and KeyWithdrawn is that of KeyWithdrawnStoreDown.
 func runSheetSpread(ctx context.Context, r *repetition) error {
-	platform := r.world.demo.Platform()
+	platform := r.testbed.demo.Platform()
 	defer platform.SetOutage(standin.OutageNone)
 	defer platform.SetDelay(0)
-	if err := r.spread(ctx, "StoreUp", func() {}); err != nil {
+	if err := r.measureSpread(ctx, "StoreUp", func() {}); err != nil {
 		return fmt.Errorf("StoreUp: %w", err)
 	}
-	platform.SetDelay(slowStore)
-	if err := r.spread(ctx, "StoreSlow", func() {}); err != nil {
+	platform.SetDelay(slowStoreDelay)
+	if err := r.measureSpread(ctx, "StoreSlow", func() {}); err != nil {
 		return fmt.Errorf("StoreSlow: %w", err)
 	}
 	platform.SetDelay(0)
-	down := func() { platform.SetOutage(standin.OutageFail) }
-	if err := r.spread(ctx, "StoreDownAfterAccept", down); err != nil {
+	stopStore := func() { platform.SetOutage(standin.OutageFail) }
+	if err := r.measureSpread(ctx, "StoreDownAfterAccept", stopStore); err != nil {
 		return fmt.Errorf("StoreDownAfterAccept: %w", err)
 	}
 	platform.SetOutage(standin.OutageNone)
-	if err := r.withdraw(ctx, "KeyWithdrawn", func() {}); err != nil {
+	if err := r.measureWithdrawal(ctx, "KeyWithdrawn", func() {}); err != nil {
 		return fmt.Errorf("KeyWithdrawn: %w", err)
 	}
-	if err := r.withdraw(ctx, "KeyWithdrawnStoreDown", down); err != nil {
+	if err := r.measureWithdrawal(ctx, "KeyWithdrawnStoreDown", stopStore); err != nil {
 		return fmt.Errorf("KeyWithdrawnStoreDown: %w", err)
 	}
 	return nil
 }
 
-// spread changes the burst of a workspace and waits for all instances.
-func (r *repetition) spread(ctx context.Context, variant string, accepted func()) error {
-	asked := time.Now()
+// measureSpread publishes a sheet with another burst of a workspace and waits until all
+// instances apply it. It calls onAccepted when the publication has been accepted.
+func (r *repetition) measureSpread(ctx context.Context, variant string, onAccepted func()) error {
+	requestedAt := time.Now()
 	version, err := r.publish(ctx, func(s *sheet.Sheet) { s.Workspaces[0].Burst++ })
 	if err != nil {
 		return err
 	}
-	at := time.Now()
-	accepted()
+	acceptedAt := time.Now()
+	onAccepted()
 	if err := r.awaitVersion(ctx, version); err != nil {
 		return err
 	}
-	r.collector.millis(variant, "Accept", at.Sub(asked))
-	r.collector.millis(variant, "AcceptToLastInstance", time.Since(at))
-	r.collector.millis(variant, "PublishToLastInstance", time.Since(asked))
+	r.collector.milliseconds(variant, "Accept", acceptedAt.Sub(requestedAt))
+	r.collector.milliseconds(variant, "AcceptToLastInstance", time.Since(acceptedAt))
+	r.collector.milliseconds(variant, "PublishToLastInstance", time.Since(requestedAt))
 	return nil
 }
 
-// publish publishes an edited sheet. A conflict is an error, because nobody
-// else publishes.
+// publish edits and publishes the current sheet. A conflict is an error, because nothing
+// else publishes during a measurement.
 func (r *repetition) publish(ctx context.Context, edit func(*sheet.Sheet)) (fleet.SheetVersion, error) {
 	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
-	client := r.world.demo.Client(r.world.instances[0])
+	client := r.testbed.demo.Client(r.testbed.instances[0])
 	current, err := client.Sheet(ctx, 0)
 	if err != nil {
 		return 0, err
@@ -97,67 +101,70 @@
 	return publication.Version, checkAccepted(publication, err)
 }
 
+// awaitVersion waits until all instances apply the version of the sheet or a later one.
 func (r *repetition) awaitVersion(ctx context.Context, version fleet.SheetVersion) error {
 	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
-	for _, id := range r.world.instances {
-		board := r.world.demo.Instance(id).Board()
+	for _, id := range r.testbed.instances {
+		board := r.testbed.demo.Instance(id).Board()
 		for board.Sheet.Load().Version < version {
-			if err := pause(ctx, pollPause); err != nil {
-				return fmt.Errorf("version %d on %s: %w", version, id, err)
+			if err := sleep(ctx, pollInterval); err != nil {
+				return fmt.Errorf("sheet version %d is not in force on instance %s: %w", version, id, err)
 			}
 		}
 	}
 	return nil
 }
 
-// withdraw replaces the key of the last workspace and measures until the last
-// answer on open sessions of the old one, one session at each instance.
-func (r *repetition) withdraw(ctx context.Context, variant string, accepted func()) error {
-	last := len(r.world.keys) - 1
-	key := r.world.keys[last]
+// measureWithdrawal replaces the key of the last workspace and measures when open
+// sessions of the old key got their last answer. The sessions are distributed over the
+// instances. At the end it restores the store and the old key.
+func (r *repetition) measureWithdrawal(ctx context.Context, variant string, onAccepted func()) error {
+	last := len(r.testbed.keys) - 1
+	key := r.testbed.keys[last]
 	ctx, cancel := context.WithTimeout(ctx, withdrawalTimeout)
 	defer cancel()
-	watch := newKeyWatch()
-	var probing sync.WaitGroup
-	for place := range withdrawalProbes {
-		s := newSession(r.world, key, key.Databases[place%len(key.Databases)], place, 0)
+	recorder := newAnswerRecorder()
+	var sending sync.WaitGroup
+	for index := range withdrawalSessions {
+		s := newSession(r.testbed, key, key.Databases[index%len(key.Databases)], index, 0)
 		if _, err := s.exec(ctx, "SELECT 1"); err != nil {
 			return err
 		}
-		probing.Go(func() { watch.probe(ctx, s) })
+		sending.Go(func() { recorder.sendUntilRefused(ctx, s) })
 	}
-	var kept []sheet.Key
-	asked := time.Now()
+	var oldKeys []sheet.Key
+	requestedAt := time.Now()
 	_, err := r.publish(ctx, func(s *sheet.Sheet) {
-		edited := workspaceOf(s, key.Workspace)
-		kept = edited.Keys
+		edited := findWorkspace(s, key.Workspace)
+		oldKeys = edited.Keys
 		generated, _ := sheet.GenerateKey(rand.Reader, edited.Salt, edited.Iterations)
 		edited.Keys = []sheet.Key{generated.Verifier}
 	})
 	if err != nil {
 		cancel()
-		probing.Wait()
+		sending.Wait()
 		return err
 	}
-	at := time.Now()
-	accepted()
-	probing.Wait()
-	r.collector.millis(variant, "AcceptToLastAnswer", max(0, watch.last().Sub(at)))
-	r.collector.millis(variant, "PublishToLastAnswer", max(0, watch.last().Sub(asked)))
-	r.collector.errors(variant, watch.codes)
+	acceptedAt := time.Now()
+	onAccepted()
+	sending.Wait()
+	r.collector.milliseconds(variant, "AcceptToLastAnswer", max(0, recorder.last().Sub(acceptedAt)))
+	r.collector.milliseconds(variant, "PublishToLastAnswer", max(0, recorder.last().Sub(requestedAt)))
+	r.collector.errors(variant, recorder.errorsByCode)
 	if ctx.Err() != nil {
-		return errors.New("a session of a withdrawn key is still served")
+		return errors.New("sessions of the withdrawn key were still served when the wait ended")
 	}
-	r.world.demo.Platform().SetOutage(standin.OutageNone)
-	version, err := r.publish(context.WithoutCancel(ctx), func(s *sheet.Sheet) { workspaceOf(s, key.Workspace).Keys = kept })
+	r.testbed.demo.Platform().SetOutage(standin.OutageNone)
+	version, err := r.publish(context.WithoutCancel(ctx), func(s *sheet.Sheet) { findWorkspace(s, key.Workspace).Keys = oldKeys })
 	if err != nil {
 		return err
 	}
 	return r.awaitVersion(context.WithoutCancel(ctx), version)
 }
 
-func workspaceOf(s *sheet.Sheet, id fleet.WorkspaceID) *sheet.Workspace {
+// findWorkspace returns the workspace in the sheet, or nil.
+func findWorkspace(s *sheet.Sheet, id fleet.WorkspaceID) *sheet.Workspace {
 	for i := range s.Workspaces {
 		if s.Workspaces[i].Workspace == id {
 			return &s.Workspaces[i]
@@ -166,45 +173,47 @@
 	return nil
 }
 
-// keyWatch notes the last answer that any session of a key got.
-type keyWatch struct {
-	mu     sync.Mutex
-	codes  map[string]int64
-	lastAt time.Time
+// answerRecorder records the last successful answer that any of several sessions got,
+// and their errors.
+type answerRecorder struct {
+	mu           sync.Mutex
+	errorsByCode map[string]int64
+	lastAnswer   time.Time
 }
 
-func newKeyWatch() *keyWatch {
-	return &keyWatch{codes: make(map[string]int64)}
+func newAnswerRecorder() *answerRecorder {
+	return &answerRecorder{errorsByCode: make(map[string]int64)}
 }
 
-// probe sends requests on an open connection until one is refused for the key
-// or the connection is closed.
-func (w *keyWatch) probe(ctx context.Context, s *session) {
+// sendUntilRefused sends requests on an open connection until one fails for another
+// reason than the rate limit, or until the context ends.
+func (a *answerRecorder) sendUntilRefused(ctx context.Context, s *session) {
 	defer s.close()
 	for ctx.Err() == nil {
-		_, err := s.try(ctx, "SELECT 1")
-		w.note(err)
-		if err != nil && codeOf(err) != codeRate {
+		_, err := s.execOnce(ctx, "SELECT 1")
+		a.record(err)
+		if err != nil && codeOf(err) != codeRateExceeded {
 			return
 		}
-		if pause(ctx, writePause*4) != nil {
+		if sleep(ctx, writeInterval*4) != nil {
 			return
 		}
 	}
 }
 
-func (w *keyWatch) note(err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (a *answerRecorder) record(err error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	if err != nil {
-		w.codes[codeOf(err)]++
+		a.errorsByCode[codeOf(err)]++
 		return
 	}
-	w.lastAt = time.Now()
+	a.lastAnswer = time.Now()
 }
 
-func (w *keyWatch) last() time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.lastAt
+// last returns when the last successful answer came.
+func (a *answerRecorder) last() time.Time {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.lastAnswer
 }
--- a/measure/workload.go
+++ b/measure/workload.go
@@ -9,25 +9,29 @@
 )
 
 const (
-	// baseLoad is the part of its rate that a workspace sends in mixed load.
-	baseLoad = 0.1
-	// probePercent is the part of the reads that ask the server for its role.
-	probePercent = 25
-	// roamRequests is the number of requests after which a session roams.
-	roamRequests = 50
-	// sessionsPerWorkspace bounds the sessions of a workspace in mixed load.
+	// mixedLoadFraction is the load of each workspace in mixed load, as a fraction of
+	// its rate limit.
+	mixedLoadFraction = 0.1
+	// statusReadPercent is the percentage of the reads that run statusSQL, if the
+	// scenario needs to know which server answers.
+	statusReadPercent = 25
+	// requestsBeforeSwitch is the number of requests after which a session switches to
+	// the next instance.
+	requestsBeforeSwitch = 50
+	// sessionsPerWorkspace is the number of sessions of a workspace in mixed load.
 	sessionsPerWorkspace = 6
-	// writePercent is the part of the requests that write in mixed load.
+	// writePercent is the percentage of the requests that write in mixed load.
 	writePercent = 20
 
 	readSQL = "SELECT count(*) FROM measure_marks WHERE id < 100"
-	// probeSQL is routed like any read and reports the server that ran it.
-	probeSQL = "SHOW group_status"
+	// statusSQL is routed like any read and returns the server that ran it, and its
+	// role.
+	statusSQL = "SHOW group_status"
 )
 
-// marksTable adds the table that the workloads write to. It has no key, so
-// that a doubled write shows as two rows.
-func marksTable(deployment *demo.Deployment) {
+// addMarksTable adds the table into which the workloads write. It has no primary key, so
+// that a write that ran twice shows as two rows.
+func addMarksTable(deployment *demo.Deployment) {
 	databases := make([]demo.Database, len(deployment.Databases))
 	for i, database := range deployment.Databases {
 		databases[i] = database
@@ -36,24 +40,24 @@
 	deployment.Databases = databases
 }
 
-// insertSQL returns the write with an id.
+// insertSQL returns the statement that writes the row with the given id.
 func insertSQL(id int64, writer fleet.WorkspaceID) string {
 	return fmt.Sprintf("INSERT INTO measure_marks VALUES (%d, '%s')", id, writer)
 }
 
-// answeredBy names the server that answered a probe, and its role.
-type answeredBy struct {
+// servedBy is the server that answered a read, and its role.
+type servedBy struct {
 	role   string
 	server fleet.ServerID
 }
 
-// probe runs a read and returns the server that served it.
-func probe(ctx context.Context, s *session, hint string) (answeredBy, error) {
-	results, err := s.exec(ctx, hint+probeSQL)
+// findReadServer runs statusSQL as a read and returns the server that answered it.
+func findReadServer(ctx context.Context, s *session, hint string) (servedBy, error) {
+	results, err := s.exec(ctx, hint+statusSQL)
 	if err != nil {
-		return answeredBy{}, err
+		return servedBy{}, err
 	}
-	var by answeredBy
+	var by servedBy
 	for i, field := range results[0].FieldDescriptions {
 		value := string(results[0].Rows[0][i])
 		switch field.Name {
@@ -66,54 +70,57 @@
 	return by, nil
 }
 
-// mixedLane returns a lane of reads and writes of one workspace.
-func mixedLane(w *world, number int, load float64, probed func(answeredBy, arrival), hint string) *lane {
-	key := w.keys[number]
-	l := &lane{rate: load * w.limit(key.Workspace).Rate, tally: newTally()}
+// newMixedStream returns a stream of reads and writes of the workspace with the given
+// index. Its rate is loadFactor times the rate limit of the workspace. If onStatusRead
+// is not nil, some reads determine the server that answers and pass it to onStatusRead.
+// The hint is an SQL comment that is put before each read.
+func newMixedStream(tb *testbed, index int, loadFactor float64, onStatusRead func(servedBy, request), hint string) *stream {
+	key := tb.keys[index]
+	st := &stream{rate: loadFactor * tb.limit(key.Workspace).Rate, stats: newStats()}
 	for i := range sessionsPerWorkspace {
 		database := key.Databases[i%len(key.Databases)]
-		l.sessions = append(l.sessions, newSession(w, key, database, number+i, roamRequests))
+		st.sessions = append(st.sessions, newSession(tb, key, database, index+i, requestsBeforeSwitch))
 	}
-	l.work = func(ctx context.Context, s *session, at arrival) error {
-		if at.random.IntN(100) < writePercent {
-			_, err := s.exec(ctx, insertSQL(w.lastID.Add(1), key.Workspace))
+	st.send = func(ctx context.Context, s *session, req request) error {
+		if req.random.IntN(100) < writePercent {
+			_, err := s.exec(ctx, insertSQL(tb.lastID.Add(1), key.Workspace))
 			return err
 		}
-		if probed == nil || at.random.IntN(100) >= probePercent {
+		if onStatusRead == nil || req.random.IntN(100) >= statusReadPercent {
 			_, err := s.exec(ctx, hint+readSQL)
 			return err
 		}
-		by, err := probe(ctx, s, hint)
+		by, err := findReadServer(ctx, s, hint)
 		if err == nil {
-			probed(by, at)
+			onStatusRead(by, req)
 		}
 		return err
 	}
-	return l
+	return st
 }
 
-// mixedLanes returns a lane for each workspace.
-func mixedLanes(w *world, load float64, probed func(answeredBy, arrival), hint string) []*lane {
-	var lanes []*lane
-	for number := range w.keys {
-		lanes = append(lanes, mixedLane(w, number, load, probed, hint))
+// newMixedStreams returns a mixed stream for each workspace.
+func newMixedStreams(tb *testbed, loadFactor float64, onStatusRead func(servedBy, request), hint string) []*stream {
+	var streams []*stream
+	for index := range tb.keys {
+		streams = append(streams, newMixedStream(tb, index, loadFactor, onStatusRead, hint))
 	}
-	return lanes
+	return streams
 }
 
-// total adds up the tallies of lanes.
-func total(lanes []*lane) *tally {
-	sum := newTally()
-	for _, l := range lanes {
-		sum.done += l.tally.done
-		sum.sent += l.tally.sent
-		for code, count := range l.tally.codes {
-			sum.codes[code] += count
+// mergeStats returns the sum of the statistics of streams that have ended.
+func mergeStats(streams []*stream) *stats {
+	merged := newStats()
+	for _, st := range streams {
+		merged.succeeded += st.stats.succeeded
+		merged.sent += st.stats.sent
+		for code, count := range st.stats.errorsByCode {
+			merged.errorsByCode[code] += count
 		}
-		for outcome, count := range l.tally.outcomes {
-			sum.outcomes[outcome] += count
+		for outcome, count := range st.stats.errorsByOutcome {
+			merged.errorsByOutcome[outcome] += count
 		}
-		sum.latency.Merge(l.tally.latency)
+		merged.latency.Merge(st.stats.latency)
 	}
-	return sum
+	return merged
 }
--- a/measure/worstworkspace.go
+++ b/measure/worstworkspace.go
@@ -6,52 +6,54 @@
 )
 
 const (
-	// aggressorLoad is how many times its rate the aggressor sends.
-	aggressorLoad = 8
-	// othersLoad is the part of its rate that each other workspace sends.
-	othersLoad = 0.2
+	// aggressorLoadFactor is the load of the aggressor, as a multiple of its rate
+	// limit.
+	aggressorLoadFactor = 8
+	// othersLoadFraction is the load of each other workspace, as a fraction of its rate
+	// limit.
+	othersLoadFraction = 0.2
 )
 
-// runWorstWorkspace measures how each workspace is served while the last one
-// sends eight times its rate. The baseline has no aggressor.
+// runWorstWorkspace measures goodput and latency of each workspace while the last one,
+// the aggressor, sends eight times its rate limit. The baseline has no aggressor.
 func runWorstWorkspace(ctx context.Context, r *repetition) error {
 	r.warmUp(ctx)
-	r.worstWorkspace(ctx, "Product", true)
-	r.worstWorkspace(ctx, "NoAggressor", false)
+	r.measureWorstWorkspace(ctx, "Product", true)
+	r.measureWorstWorkspace(ctx, "NoAggressor", false)
 	return nil
 }
 
-func (r *repetition) worstWorkspace(ctx context.Context, variant string, aggressor bool) {
-	lanes := mixedLanes(r.world, othersLoad, nil, "")
-	others := lanes[:len(lanes)-1]
+func (r *repetition) measureWorstWorkspace(ctx context.Context, variant string, aggressor bool) {
+	streams := newMixedStreams(r.testbed, othersLoadFraction, nil, "")
+	others := streams[:len(streams)-1]
 	if aggressor {
-		last := len(r.world.keys) - 1
-		lanes[last] = mixedLane(r.world, last, aggressorLoad, nil, "")
+		last := len(r.testbed.keys) - 1
+		streams[last] = newMixedStream(r.testbed, last, aggressorLoadFactor, nil, "")
 	}
-	runLoad(ctx, lanes, r.duration, r.seed)
+	runLoad(ctx, streams, r.duration, r.seed)
 	worstGoodput, worstP99 := 100.0, time.Duration(0)
 	c := r.collector
-	for number, l := range others {
-		name := string(r.world.keys[number].Workspace)
-		goodput := 100 * float64(l.tally.done) / float64(max(l.tally.sent, 1))
-		p99 := l.tally.latency.Quantile(0.99)
+	for index, st := range others {
+		name := string(r.testbed.keys[index].Workspace)
+		goodput := 100 * float64(st.stats.succeeded) / float64(max(st.stats.sent, 1))
+		p99 := st.stats.latency.Quantile(0.99)
 		c.add(variant, "Goodput "+name, goodput, UnitPercent, DirectionHigher)
-		c.millis(variant, "P99 "+name, p99)
+		c.milliseconds(variant, "P99 "+name, p99)
 		worstGoodput, worstP99 = min(worstGoodput, goodput), max(worstP99, p99)
 	}
 	c.add(variant, "WorstGoodput", worstGoodput, UnitPercent, DirectionHigher)
-	c.millis(variant, "WorstP99", worstP99)
+	c.milliseconds(variant, "WorstP99", worstP99)
 	if aggressor {
-		sent := lanes[len(lanes)-1].tally
-		c.percent(variant, "AggressorServed", sent.done, sent.sent, DirectionHigher)
+		sent := streams[len(streams)-1].stats
+		c.percent(variant, "AggressorServed", sent.succeeded, sent.sent, DirectionHigher)
 	}
-	r.report(variant+"Others", total(others), r.duration)
+	r.reportLoad(variant+"Others", mergeStats(others), r.duration)
 }
 
-// warmUp runs mixed load before the first repetition, so that connections and
-// shares have moved to where the requests arrive.
+// warmUp runs mixed load before the first repetition, so that connections and rate limit
+// shares have moved to the instances at which the requests arrive.
 func (r *repetition) warmUp(ctx context.Context) {
-	if r.number == 0 {
-		runLoad(ctx, mixedLanes(r.world, baseLoad, nil, ""), r.duration, r.seed)
+	if r.index == 0 {
+		runLoad(ctx, newMixedStreams(r.testbed, mixedLoadFraction, nil, ""), r.duration, r.seed)
 	}
 }
--- a/measure/writer.go
+++ b/measure/writer.go
@@ -10,10 +10,10 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-// writePause is the pause between the writes of a steady writer.
-const writePause = 10 * time.Millisecond
+// writeInterval is the pause between two writes of a writer.
+const writeInterval = 10 * time.Millisecond
 
-// writeState is what the client knows of a write.
+// writeState is what the client knows about the effect of a write.
 type writeState string
 
 // States of a write.
@@ -23,23 +23,26 @@
 	writeUnknown      writeState = "Unknown"
 )
 
-// write is one write with its end.
+// write is one write and its result.
 type write struct {
-	at    time.Time
+	// at is the time at which the answer or the error came.
+	at time.Time
+	// id is the id of the written row.
 	id    int64
 	state writeState
 }
 
-// writer is a client of one workspace that writes one row after the other.
+// writer is a client of one workspace that writes rows one after the other.
 type writer struct {
 	group   *standin.Group
 	session *session
 
-	mu     sync.Mutex
-	codes  map[string]int64
-	writes []write
+	mu           sync.Mutex
+	errorsByCode map[string]int64
+	writes       []write
 }
 
+// run writes rows until stop is closed or the context ends.
 func (w *writer) run(ctx context.Context, stop <-chan struct{}) {
 	defer w.session.close()
 	for {
@@ -51,33 +54,33 @@
 		default:
 		}
 		w.write(ctx)
-		if pause(ctx, writePause) != nil {
+		if sleep(ctx, writeInterval) != nil {
 			return
 		}
 	}
 }
 
-// write writes a row with a new id. A write that failed is not repeated, so
-// that a doubled row can only come from the proxy.
+// write writes a row with a new id. A failed write is not retried, so that only the
+// proxy can be the cause of a duplicate row.
 func (w *writer) write(ctx context.Context) {
-	id := w.session.world.lastID.Add(1)
+	id := w.session.testbed.lastID.Add(1)
 	_, err := w.session.exec(ctx, insertSQL(id, w.session.key.Workspace))
-	done := write{at: time.Now(), id: id, state: writeAcknowledged}
+	result := write{at: time.Now(), id: id, state: writeAcknowledged}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		w.codes[codeOf(err)]++
-		done.state = writeUnknown
-		// A statement that failed on the server has left no row either.
+		w.errorsByCode[codeOf(err)]++
+		result.state = writeUnknown
+		// A statement that failed on the server did not write the row either.
 		if outcome := outcomeOf(err); outcome == caller.OutcomeNotRun || outcome == caller.OutcomeFailed {
-			done.state = writeNotRun
+			result.state = writeNotRun
 		}
 	}
-	w.writes = append(w.writes, done)
+	w.writes = append(w.writes, result)
 }
 
-// firstAfter returns the first success after a time.
-func (w *writer) firstAfter(at time.Time) (time.Time, bool) {
+// firstSuccessAfter returns when the first successful write after the given time ended.
+func (w *writer) firstSuccessAfter(at time.Time) (time.Time, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, write := range w.writes {
@@ -88,8 +91,8 @@
 	return time.Time{}, false
 }
 
-// longestGap returns the longest time between two successes that ends after a
-// time.
+// longestGap returns the longest time between two successive successful writes, of which
+// the second ended after the given time.
 func (w *writer) longestGap(after time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -107,67 +110,68 @@
 	return longest
 }
 
-// writers are one steady writer for each workspace.
+// writers holds one writer for each workspace.
 type writers struct {
 	all    []*writer
-	done   sync.WaitGroup
+	wg     sync.WaitGroup
 	stopCh chan struct{}
 }
 
 // startWriters starts a writer for each workspace, spread over the groups and
 // the instances.
-func startWriters(ctx context.Context, w *world, groups []*standin.Group) *writers {
-	started := &writers{stopCh: make(chan struct{})}
-	for number, key := range w.keys {
-		target := groups[number%len(groups)]
-		one := &writer{
-			codes:   make(map[string]int64),
-			group:   target,
-			session: newSession(w, key, target.ID(), number, 0),
+func startWriters(ctx context.Context, tb *testbed, groups []*standin.Group) *writers {
+	set := &writers{stopCh: make(chan struct{})}
+	for index, key := range tb.keys {
+		target := groups[index%len(groups)]
+		wr := &writer{
+			errorsByCode: make(map[string]int64),
+			group:        target,
+			session:      newSession(tb, key, target.ID(), index, 0),
 		}
-		started.all = append(started.all, one)
-		started.done.Go(func() { one.run(ctx, started.stopCh) })
+		set.all = append(set.all, wr)
+		set.wg.Go(func() { wr.run(ctx, set.stopCh) })
 	}
-	return started
+	return set
 }
 
-// awaitSuccess waits until each writer had a success after a time.
+// awaitSuccess waits until each writer has had a successful write after the given time.
 func (w *writers) awaitSuccess(ctx context.Context, after time.Time) error {
-	for _, one := range w.all {
+	for _, wr := range w.all {
 		for {
-			if _, ok := one.firstAfter(after); ok {
+			if _, ok := wr.firstSuccessAfter(after); ok {
 				break
 			}
-			if err := pause(ctx, pollPause); err != nil {
-				return fmt.Errorf("workspace %s has no successful write: %w", one.session.key.Workspace, err)
+			if err := sleep(ctx, pollInterval); err != nil {
+				return fmt.Errorf("no write of workspace %s succeeded in time: %w", wr.session.key.Workspace, err)
 			}
 		}
 	}
 	return nil
 }
 
-// awaitAfterFault waits until each group has a new primary and each writer a
-// success on it.
-func (w *writers) awaitAfterFault(ctx context.Context, in *world, groups []*standin.Group, faultAt time.Time, promotion bool) error {
+// awaitRecovery waits until each writer has had a successful write after the fault. If
+// promotion is true, it first waits until each group has a new primary, and counts only
+// writes after the last promotion.
+func (w *writers) awaitRecovery(ctx context.Context, tb *testbed, groups []*standin.Group, faultAt time.Time, promotion bool) error {
 	after := faultAt
 	for _, g := range groups {
 		for promotion {
-			if record, found := promotionAfter(in, g, faultAt); found {
+			if record, found := lastPromotionAfter(tb, g, faultAt); found {
 				if record.PromotedAt.After(after) {
 					after = record.PromotedAt
 				}
 				break
 			}
-			if err := pause(ctx, 10*pollPause); err != nil {
-				return fmt.Errorf("group %s has no promotion: %w", g.ID(), err)
+			if err := sleep(ctx, 10*pollInterval); err != nil {
+				return fmt.Errorf("no server of group %s was promoted after the fault: %w", g.ID(), err)
 			}
 		}
 	}
 	return w.awaitSuccess(ctx, after)
 }
 
-// stop ends the writers after their current write and waits for them.
+// stop makes the writers end after their current write and waits for them.
 func (w *writers) stop() {
 	close(w.stopCh)
-	w.done.Wait()
+	w.wg.Wait()
 }
