--- a/faultmatrix/cell.go
+++ b/faultmatrix/cell.go
@@ -75,35 +75,35 @@
 	}
 }
 
-// Promise is the number of a promise in section 1.2 of the design page.
-type Promise int
+// Guarantee is the number of a promise in section 1.2 of the design page.
+type Guarantee int
 
 // Cell is one fault at one step.
 type Cell struct {
 	// Empty says why no test brings the cell about.
-	Empty string
-	Fault Fault
+	NoTestReason string
+	Fault        Fault
 	// Must says what must happen.
-	Must    string
-	Promise Promise
-	Step    Step
+	Expected  string
+	Guarantee Guarantee
+	Step      Step
 	// Test is "package.TestName" of the test that brings the cell about.
 	Test string
 }
 
 // Pair is two faults at once, at any step.
 type Pair struct {
-	Empty   string
-	First   Fault
-	Must    string
-	Promise Promise
-	Second  Fault
-	Test    string
+	NoTestReason string
+	First        Fault
+	Expected     string
+	Guarantee    Guarantee
+	Second       Fault
+	Test         string
 }
 
 // IsImpossible reports whether the fault cannot occur at the step.
 func (c Cell) IsImpossible() bool {
-	return c.Test == "" && strings.HasPrefix(c.Empty, impossiblePrefix)
+	return c.Test == "" && strings.HasPrefix(c.NoTestReason, impossiblePrefix)
 }
 
 // impossiblePrefix starts the reason of cells that cannot occur.
--- a/faultmatrix/page.go
+++ b/faultmatrix/page.go
@@ -24,13 +24,13 @@
 		fmt.Fprintf(&page, "\n## %s\n\n| Step | Promise | What must happen | Test |\n| --- | --- | --- | --- |\n", fault)
 		for _, cell := range cells {
 			if cell.Fault == fault {
-				writeRow(&page, string(cell.Step), cell.Promise, cell.Must, cell.Test, cell.Empty)
+				writeRow(&page, string(cell.Step), cell.Guarantee, cell.Expected, cell.Test, cell.NoTestReason)
 			}
 		}
 	}
 	page.WriteString("\n## Two faults at once\n\n| Faults | Promise | What must happen | Test |\n| --- | --- | --- | --- |\n")
 	for _, pair := range pairs {
-		writeRow(&page, string(pair.First)+", "+string(pair.Second), pair.Promise, pair.Must, pair.Test, pair.Empty)
+		writeRow(&page, string(pair.First)+", "+string(pair.Second), pair.Guarantee, pair.Expected, pair.Test, pair.NoTestReason)
 	}
 	return page.String()
 }
@@ -48,7 +48,7 @@
 	return tested, impossible
 }
 
-func writeRow(page *strings.Builder, name string, promise Promise, must, test, empty string) {
+func writeRow(page *strings.Builder, name string, promise Guarantee, must, test, empty string) {
 	number := "-"
 	if promise > 0 {
 		number = fmt.Sprint(int(promise))
--- a/faultmatrix/page_test.go
+++ b/faultmatrix/page_test.go
@@ -46,11 +46,11 @@
 	cells := make(map[place]int)
 	for _, cell := range faultmatrix.Cells() {
 		cells[place{cell.Fault, cell.Step}]++
-		if (cell.Test == "") == (cell.Empty == "") || cell.Test != "" && cell.Must == "" {
+		if (cell.Test == "") == (cell.NoTestReason == "") || cell.Test != "" && cell.Expected == "" {
 			t.Errorf("%s at %s needs either a test with what must happen or a reason", cell.Fault, cell.Step)
 		}
-		if cell.Promise < 1 || cell.Promise > promises {
-			t.Errorf("%s at %s: promise %d does not exist", cell.Fault, cell.Step, cell.Promise)
+		if cell.Guarantee < 1 || cell.Guarantee > promises {
+			t.Errorf("%s at %s: promise %d does not exist", cell.Fault, cell.Step, cell.Guarantee)
 		}
 	}
 	for _, fault := range faultmatrix.Faults() {
--- a/faultmatrix/pairs.go
+++ b/faultmatrix/pairs.go
@@ -10,7 +10,7 @@
 	faults := Faults()
 	for number, first := range faults {
 		for _, second := range faults[number+1:] {
-			pair := Pair{Empty: noPairTest, First: first, Second: second}
+			pair := Pair{NoTestReason: noPairTest, First: first, Second: second}
 			for _, known := range tested {
 				if known.First == first && known.Second == second {
 					pair = known
@@ -25,25 +25,25 @@
 // testedPairs lists the pairs that a test brings about, each in the order of Faults.
 func testedPairs() []Pair {
 	return []Pair{
-		{First: FaultPrimaryCutOff, Second: FaultPrimaryCrash, Promise: 2, Must: "The outcome is truthful and acknowledged writes stay.", Test: testBeforeAnswer},
-		{First: FaultPrimaryCutOff, Second: FaultReplicaLags, Promise: 1, Must: "No acknowledged write is lost; the outcome is truthful.", Test: testBeforeAnswer},
-		{First: FaultPrimaryCutOff, Second: FaultInstanceDies, Promise: 10, Must: "The outcome is truthful.", Test: testBeforeAnswer},
-		{First: FaultPrimaryCutOff, Second: FaultKeyWithdrawn, Promise: 10, Must: "The outcome is truthful.", Test: testBeforeAnswer},
-		{First: FaultPrimaryCutOff, Second: FaultStoreDown, Promise: 10, Must: "The outcome is truthful and the failover needs no store.", Test: testBeforeAnswer},
-		{First: FaultPrimaryCutOff, Second: FaultStoreSlow, Promise: 10, Must: "The outcome is truthful and the failover needs no store.", Test: testBeforeAnswer},
-		{First: FaultPrimaryCutOff, Second: FaultStoreAnswerLost, Promise: 10, Must: "The outcome is truthful and the publication takes effect once.", Test: testBeforeAnswer},
-		{First: FaultPrimaryCutOff, Second: FaultLeaseLapses, Promise: 2, Must: "The cut-off side acknowledges nothing.", Test: "faultmatrix.TestCutOffPrimaryWithInstance"},
-		{First: FaultPrimaryCutOff, Second: FaultOperatorsRace, Promise: 10, Must: "The outcome is truthful and one operator wins.", Test: testBeforeAnswer},
-		{First: FaultPrimaryCrash, Second: FaultReplicaLags, Promise: 1, Must: "The promoted replica first applies what it received.", Test: testDuringFault},
-		{First: FaultPrimaryCrash, Second: FaultInstanceDies, Promise: 2, Must: "The other instances promote.", Test: testDuringFault},
-		{First: FaultPrimaryCrash, Second: FaultKeyWithdrawn, Promise: 6, Must: "The failover completes with the new key in force.", Test: testDuringFault},
-		{First: FaultPrimaryCrash, Second: FaultStoreDown, Promise: 2, Must: "The failover needs no store.", Test: testDuringFault},
-		{First: FaultPrimaryCrash, Second: FaultStoreSlow, Promise: 2, Must: "The failover needs no store.", Test: testDuringFault},
-		{First: FaultPrimaryCrash, Second: FaultLeaseLapses, Promise: 2, Must: "The failover completes.", Test: testDuringFault},
-		{First: FaultInstanceDies, Second: FaultLeaseLapses, Promise: 7, Must: "Limits hold across restarts and pauses.", Test: testLedger},
-		{First: FaultKeyWithdrawn, Second: FaultStoreDown, Promise: 6, Must: "The key stops working on open and new sessions.", Test: "faultmatrix.TestKeyWithdrawnWhileStoreFails"},
-		{First: FaultStoreSlow, Second: FaultLeaseLapses, Promise: 12, Must: "The lease counts from before the request.", Test: "peer.TestSlowStore"},
-		{First: FaultStoreDown, Second: FaultLeaseLapses, Promise: 7, Must: "Limits hold when reads fail and members pause.", Test: testLedger},
-		{First: FaultStoreAnswerLost, Second: FaultOperatorsRace, Promise: 12, Must: "One wins and the other gets a conflict.", Test: "faultmatrix.TestRacingOperators"},
+		{First: FaultPrimaryCutOff, Second: FaultPrimaryCrash, Guarantee: 2, Expected: "The outcome is truthful and acknowledged writes stay.", Test: testBeforeAnswer},
+		{First: FaultPrimaryCutOff, Second: FaultReplicaLags, Guarantee: 1, Expected: "No acknowledged write is lost; the outcome is truthful.", Test: testBeforeAnswer},
+		{First: FaultPrimaryCutOff, Second: FaultInstanceDies, Guarantee: 10, Expected: "The outcome is truthful.", Test: testBeforeAnswer},
+		{First: FaultPrimaryCutOff, Second: FaultKeyWithdrawn, Guarantee: 10, Expected: "The outcome is truthful.", Test: testBeforeAnswer},
+		{First: FaultPrimaryCutOff, Second: FaultStoreDown, Guarantee: 10, Expected: "The outcome is truthful and the failover needs no store.", Test: testBeforeAnswer},
+		{First: FaultPrimaryCutOff, Second: FaultStoreSlow, Guarantee: 10, Expected: "The outcome is truthful and the failover needs no store.", Test: testBeforeAnswer},
+		{First: FaultPrimaryCutOff, Second: FaultStoreAnswerLost, Guarantee: 10, Expected: "The outcome is truthful and the publication takes effect once.", Test: testBeforeAnswer},
+		{First: FaultPrimaryCutOff, Second: FaultLeaseLapses, Guarantee: 2, Expected: "The cut-off side acknowledges nothing.", Test: "faultmatrix.TestCutOffPrimaryWithInstance"},
+		{First: FaultPrimaryCutOff, Second: FaultOperatorsRace, Guarantee: 10, Expected: "The outcome is truthful and one operator wins.", Test: testBeforeAnswer},
+		{First: FaultPrimaryCrash, Second: FaultReplicaLags, Guarantee: 1, Expected: "The promoted replica first applies what it received.", Test: testDuringFault},
+		{First: FaultPrimaryCrash, Second: FaultInstanceDies, Guarantee: 2, Expected: "The other instances promote.", Test: testDuringFault},
+		{First: FaultPrimaryCrash, Second: FaultKeyWithdrawn, Guarantee: 6, Expected: "The failover completes with the new key in force.", Test: testDuringFault},
+		{First: FaultPrimaryCrash, Second: FaultStoreDown, Guarantee: 2, Expected: "The failover needs no store.", Test: testDuringFault},
+		{First: FaultPrimaryCrash, Second: FaultStoreSlow, Guarantee: 2, Expected: "The failover needs no store.", Test: testDuringFault},
+		{First: FaultPrimaryCrash, Second: FaultLeaseLapses, Guarantee: 2, Expected: "The failover completes.", Test: testDuringFault},
+		{First: FaultInstanceDies, Second: FaultLeaseLapses, Guarantee: 7, Expected: "Limits hold across restarts and pauses.", Test: testLedger},
+		{First: FaultKeyWithdrawn, Second: FaultStoreDown, Guarantee: 6, Expected: "The key stops working on open and new sessions.", Test: "faultmatrix.TestKeyWithdrawnWhileStoreFails"},
+		{First: FaultStoreSlow, Second: FaultLeaseLapses, Guarantee: 12, Expected: "The lease counts from before the request.", Test: "peer.TestSlowStore"},
+		{First: FaultStoreDown, Second: FaultLeaseLapses, Guarantee: 7, Expected: "Limits hold when reads fail and members pause.", Test: testLedger},
+		{First: FaultStoreAnswerLost, Second: FaultOperatorsRace, Guarantee: 12, Expected: "One wins and the other gets a conflict.", Test: "faultmatrix.TestRacingOperators"},
 	}
 }
