--- a/faultmatrix/cell.go
+++ b/faultmatrix/cell.go
@@ -1,39 +1,41 @@
-// Package faultmatrix lists what must happen when each fault meets each step,
-// with the test that brings it about. The page docs/fault-matrix.md is
-// generated from the list.
+// Package faultmatrix lists the expected behaviour for each fault at each step of
+// a request, a promotion, a publication or the life of an instance, together with
+// the test that checks it. The page docs/fault-matrix.md is generated from the list.
 package faultmatrix
 
 import "strings"
 
-// Fault is one kind of failure that the design page names.
+// Fault is a kind of failure from section 1.5 of docs/design.md.
 type Fault string
 
-// Faults in the order of the design page.
+// Faults in the order of docs/design.md.
 const (
 	// FaultPrimaryCutOff is a partition between the primary and its replicas.
 	FaultPrimaryCutOff Fault = "PrimaryCutOff"
-	// FaultPrimaryCrash ends the primary and its connections.
+	// FaultPrimaryCrash is a crash of the primary, which closes its connections.
 	FaultPrimaryCrash Fault = "PrimaryCrash"
-	// FaultReplicaLags is a replica that receives but does not apply.
+	// FaultReplicaLags is a replica that receives log entries but does not apply them.
 	FaultReplicaLags Fault = "ReplicaLags"
-	// FaultInstanceDies ends an instance without a drain.
+	// FaultInstanceDies is an instance that is killed without draining.
 	FaultInstanceDies Fault = "InstanceDies"
-	// FaultKeyWithdrawn takes the key of a connected caller out of the sheet.
+	// FaultKeyWithdrawn removes the key of a connected caller from the sheet.
 	FaultKeyWithdrawn Fault = "KeyWithdrawn"
-	// FaultStoreDown is a table service that fails each call.
+	// FaultStoreDown is a store, the platform's table service, that fails each call.
 	FaultStoreDown Fault = "StoreDown"
-	// FaultStoreSlow is a table service that answers late or after the timeout.
+	// FaultStoreSlow is a store that responds late or only after the timeout.
 	FaultStoreSlow Fault = "StoreSlow"
-	// FaultStoreAnswerLost loses the answer to a write that took effect.
+	// FaultStoreAnswerLost is a write to the store that takes effect but whose
+	// response is lost.
 	FaultStoreAnswerLost Fault = "StoreAnswerLost"
-	// FaultLeaseLapses ends the validity lease of an instance that is paused or
-	// cut off from the store and its peers.
+	// FaultLeaseLapses is the expiry of the validity lease of an instance that is
+	// paused, or cut off from the store and its peers.
 	FaultLeaseLapses Fault = "LeaseLapses"
-	// FaultOperatorsRace lets two operators publish against one version.
+	// FaultOperatorsRace is two operators that publish a sheet on the same base
+	// version at the same time.
 	FaultOperatorsRace Fault = "OperatorsRace"
 )
 
-// Faults returns all faults in the order of the design page.
+// Faults returns all faults in the order of docs/design.md.
 func Faults() []Fault {
 	return []Fault{
 		FaultPrimaryCutOff, FaultPrimaryCrash, FaultReplicaLags, FaultInstanceDies, FaultKeyWithdrawn,
@@ -41,29 +43,52 @@
 	}
 }
 
-// Step is a point at which a fault can occur.
+// Step is a point in the processing of a request, a promotion or a publication, or
+// in the life of an instance, at which a fault can occur.
 type Step string
 
-// Steps in the order in which an instance and a request pass them.
+// Steps in the order in which an instance and a request go through them.
 const (
-	StepStartUp         Step = "StartUp"
-	StepAuthentication  Step = "Authentication"
-	StepAdmission       Step = "Admission"
-	StepQueueing        Step = "Queueing"
-	StepBeforeSend      Step = "BeforeSend"
-	StepAfterSend       Step = "AfterSend"
-	StepBeforeAnswer    Step = "BeforeAnswer"
-	StepAfterAnswer     Step = "AfterAnswer"
-	StepInTransaction   Step = "InTransaction"
-	StepCommit          Step = "Commit"
-	StepPromotion       Step = "Promotion"
-	StepPublishRead     Step = "PublishRead"
-	StepPublishWrite    Step = "PublishWrite"
+	// StepStartUp is the start of an instance.
+	StepStartUp Step = "StartUp"
+	// StepAuthentication is the authentication of a new session.
+	StepAuthentication Step = "Authentication"
+	// StepAdmission is the check of a request against the limits of its workspace.
+	StepAdmission Step = "Admission"
+	// StepQueueing is the wait of a request for a connection to a backend server.
+	StepQueueing Step = "Queueing"
+	// StepBeforeSend is the time before a request is sent to a backend server.
+	StepBeforeSend Step = "BeforeSend"
+	// StepAfterSend is the time after a statement was sent to a backend server and
+	// before it takes effect.
+	StepAfterSend Step = "AfterSend"
+	// StepBeforeAnswer is the time after a write took effect on the primary and before
+	// it is acknowledged, because no majority is known to have received it.
+	StepBeforeAnswer Step = "BeforeAnswer"
+	// StepAfterAnswer is the time after the response was sent to the caller.
+	StepAfterAnswer Step = "AfterAnswer"
+	// StepInTransaction is the time during which a transaction is open.
+	StepInTransaction Step = "InTransaction"
+	// StepCommit is StepBeforeAnswer for the commit of a transaction.
+	StepCommit Step = "Commit"
+	// StepPromotion is the promotion of a replica to primary.
+	StepPromotion Step = "Promotion"
+	// StepPublishRead is the read of the newest sheet version by a publication.
+	StepPublishRead Step = "PublishRead"
+	// StepPublishWrite is the conditional write of the new version to the store.
+	StepPublishWrite Step = "PublishWrite"
+	// StepPublishReadBack is the read which finds out whether a write without a
+	// response took effect.
 	StepPublishReadBack Step = "PublishReadBack"
-	StepPublishConfirm  Step = "PublishConfirm"
-	StepMovingShares    Step = "MovingShares"
-	StepDrain           Step = "Drain"
-	StepStop            Step = "Stop"
+	// StepPublishConfirm is the wait until a majority of the instances holds the new
+	// version.
+	StepPublishConfirm Step = "PublishConfirm"
+	// StepMovingShares is the transfer of shares of the limits between instances.
+	StepMovingShares Step = "MovingShares"
+	// StepDrain is the drain of a data centre or an instance.
+	StepDrain Step = "Drain"
+	// StepStop is the planned stop of an instance.
+	StepStop Step = "Stop"
 )
 
 // Steps returns all steps in order.
@@ -75,23 +100,24 @@
 	}
 }
 
-// Guarantee is the number of a promise in section 1.2 of the design page.
+// Guarantee is the number of a guarantee in section 1.2 of docs/design.md.
 type Guarantee int
 
-// Cell is one fault at one step.
+// Cell describes one fault at one step.
 type Cell struct {
-	// Empty says why no test brings the cell about.
+	// NoTestReason says why no test covers the cell. It is empty if Test is set.
 	NoTestReason string
 	Fault        Fault
-	// Must says what must happen.
+	// Expected describes the expected behaviour.
 	Expected  string
 	Guarantee Guarantee
 	Step      Step
-	// Test is "package.TestName" of the test that brings the cell about.
+	// Test is "package.TestName" of the test that covers the cell, or empty.
 	Test string
 }
 
-// Pair is two faults at once, at any step.
+// Pair describes two faults at the same time, at any step. Its fields have the same
+// meaning as those of Cell.
 type Pair struct {
 	NoTestReason string
 	First        Fault
@@ -106,5 +132,6 @@
 	return c.Test == "" && strings.HasPrefix(c.NoTestReason, impossiblePrefix)
 }
 
-// impossiblePrefix starts the reason of cells that cannot occur.
+// impossiblePrefix starts the NoTestReason of cells whose fault cannot occur at the
+// step.
 const impossiblePrefix = "Cannot occur: "
--- a/faultmatrix/checker_test.go
+++ b/faultmatrix/checker_test.go
@@ -8,16 +8,16 @@
 	"github.com/nutmegpier/nutmegpier/sheet"
 )
 
-// soundHistory is a small history without a violation.
-func soundHistory() *history {
-	write := func(session int, op, outcome string, version int, call, returned time.Duration) operation {
-		return operation{call: call, kind: kindWrite, op: op, outcome: outcome, returned: returned, session: session, version: version, writer: op}
+// validHistory is a small history without a violation.
+func validHistory() *history {
+	write := func(session int, op, outcome string, version int, calledAt, returnedAt time.Duration) operation {
+		return operation{calledAt: calledAt, kind: kindWrite, op: op, outcome: outcome, returnedAt: returnedAt, session: session, version: version, writer: op}
 	}
-	read := func(session int, fresh bool, version int, writer string, call, returned time.Duration) operation {
-		return operation{call: call, fresh: fresh, kind: kindRead, op: "read", returned: returned, session: session, version: version, writer: writer}
+	read := func(session int, firstRead bool, version int, writer string, calledAt, returnedAt time.Duration) operation {
+		return operation{calledAt: calledAt, firstRead: firstRead, kind: kindRead, op: "read", returnedAt: returnedAt, session: session, version: version, writer: writer}
 	}
 	return &history{
-		journal: []entry{{op: "a", version: 1}, {op: "u", version: 2}, {op: "b", version: 3}},
+		journal: []journalRow{{op: "a", version: 1}, {op: "u", version: 2}, {op: "b", version: 3}},
 		operations: []operation{
 			write(1, "a", outcomeCommitted, 1, 0, 10),
 			read(2, true, 1, "a", 11, 12),
@@ -28,39 +28,39 @@
 			read(1, false, 3, "b", 31, 32),
 			read(3, true, 3, "b", 40, 50),
 		},
-		sums: []int{total},
+		sums: []int{stockTotal},
 	}
 }
 
-// TestCheckersCatchFaults guards against checkers that pass everything: each
-// deliberate fault in a recorded history must be found, and found as itself.
+// TestCheckersCatchFaults guards against checkers that accept every history. Each
+// violation added to a valid history must be reported as that kind of violation.
 func TestCheckersCatchFaults(t *testing.T) {
 	t.Parallel()
-	if err := soundHistory().check(); err != nil {
-		t.Fatalf("history without a violation: %v", err)
+	if err := validHistory().check(); err != nil {
+		t.Fatalf("check() of a valid history: %v", err)
 	}
 	for _, tc := range []struct {
-		name   string
-		damage func(h *history)
-		want   string
+		name    string
+		corrupt func(h *history)
+		want    string
 	}{
-		{"DoubledWrite", func(h *history) { h.journal = append(h.journal, entry{op: "a", version: 4}) }, "doubled write"},
-		{"FalseNotRun", func(h *history) { h.journal = append(h.journal, entry{op: "n", version: 4}) }, "false outcome"},
+		{"DoubledWrite", func(h *history) { h.journal = append(h.journal, journalRow{op: "a", version: 4}) }, "duplicate write"},
+		{"FalseNotRun", func(h *history) { h.journal = append(h.journal, journalRow{op: "n", version: 4}) }, "wrong outcome"},
 		{"LostWrite", func(h *history) { h.journal = h.journal[:2] }, "lost write"},
-		{"MixedTransaction", func(h *history) { h.sums = append(h.sums, total-1) }, "mixed transaction"},
-		{"MixedWrites", func(h *history) { h.journal[1].version = 1 }, "mixed writes"},
-		{"OwnWriteMissed", func(h *history) { h.operations[6].version, h.operations[6].writer = 2, "u" }, "own write missed"},
+		{"MixedTransaction", func(h *history) { h.sums = append(h.sums, stockTotal-1) }, "non-atomic transaction"},
+		{"MixedWrites", func(h *history) { h.journal[1].version = 1 }, "conflicting writes"},
+		{"OwnWriteMissed", func(h *history) { h.operations[6].version, h.operations[6].writer = 2, "u" }, "read-your-writes violation"},
 		{"StaleRead", func(h *history) { h.operations[7].version, h.operations[7].writer = 1, "a" }, "stale read"},
 		{"ReadOfTheFuture", func(h *history) { h.operations[1].version, h.operations[1].writer = 3, "b" }, "not linearizable"},
 		{"ReorderedWrites", func(h *history) {
 			h.operations = []operation{h.operations[0], h.operations[5]}
 			h.operations[0].version, h.operations[1].version = 2, 1
-			h.journal = []entry{{op: "a", version: 2}, {op: "b", version: 1}}
+			h.journal = []journalRow{{op: "a", version: 2}, {op: "b", version: 1}}
 		}, "not linearizable"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := soundHistory()
-			tc.damage(h)
+			h := validHistory()
+			tc.corrupt(h)
 			if err := h.check(); err == nil || !strings.HasPrefix(err.Error(), tc.want) {
 				t.Errorf("check() = %v, want %s", err, tc.want)
 			}
@@ -68,37 +68,37 @@
 	}
 }
 
-// TestExcessCatchesOverAdmission guards against a check of the rate that
-// passes too many admissions.
+// TestExcessCatchesOverAdmission guards against a check of the rate limit that
+// accepts too many admissions.
 func TestExcessCatchesOverAdmission(t *testing.T) {
 	t.Parallel()
 	start := time.Unix(1000, 0)
 	limits := sheet.Workspace{Burst: 5, Rate: 10}
 	var admitted []admission
-	for number := range 20 {
-		at := start.Add(time.Duration(number) * 100 * time.Millisecond)
-		admitted = append(admitted, admission{answered: at.Add(time.Millisecond), sent: at})
+	for i := range 20 {
+		at := start.Add(time.Duration(i) * 100 * time.Millisecond)
+		admitted = append(admitted, admission{answeredAt: at.Add(time.Millisecond), sentAt: at})
 	}
 	if got := excess(admitted, limits); got > 0 {
-		t.Errorf("excess = %v within the limits", got)
+		t.Errorf("excess = %v, want at most 0: the admissions are within the limits", got)
 	}
 	for range 6 {
 		admitted = append(admitted, admitted[10])
 	}
 	if got := excess(admitted, limits); got <= 0 {
-		t.Errorf("excess = %v with six more admissions at one time", got)
+		t.Errorf("excess = %v, want more than 0: six admissions were added at one time", got)
 	}
 }
 
-// TestRecordingFindsKey guards against a search for keys that misses one which
-// is split over two writes.
+// TestRecordingFindsKey guards against a search that misses a key whose bytes are
+// split over two writes.
 func TestRecordingFindsKey(t *testing.T) {
 	t.Parallel()
 	r := &recording{}
 	for _, part := range []string{"SET application_name TO 'press npk", "_secret'"} {
 		_, _ = r.Write([]byte(part))
 	}
-	if !r.holds("npk_secret") {
-		t.Error("the key was not found")
+	if !r.contains("npk_secret") {
+		t.Error("the recording does not contain the key that was written to it")
 	}
 }
--- a/faultmatrix/consistency_test.go
+++ b/faultmatrix/consistency_test.go
@@ -19,7 +19,8 @@
 )
 
 const (
-	// historyEnv sets the number of operations of the long form.
+	// historyEnv is the environment variable that overrides the number of operations
+	// for longer runs.
 	historyEnv        = "NUTMEGPIER_HISTORY_OPERATIONS"
 	historyOperations = 3000 / raceSlowdown
 	historyRegisters  = 6
@@ -27,54 +28,58 @@
 	historySessions   = 8
 )
 
-// recorder runs roaming sessions and records what they do.
-type recorder struct {
-	count   atomic.Int64
-	fixture *fixture
-	started time.Time
-	target  int64
+// historyRecorder records the operations of the roaming sessions. It stops them once
+// the number of operations has reached target.
+type historyRecorder struct {
+	operationCount atomic.Int64
+	fixture        *fixture
+	startedAt      time.Time
+	target         int64
 
 	mu      sync.Mutex
 	history history
 }
 
-// roaming is one session that moves between instances.
-type roaming struct {
-	conn    *pgx.Conn
-	fresh   bool
-	number  int
-	random  *rand.Rand
-	r       *recorder
-	arrived time.Duration
+// roamingSession is a client that reconnects to a random instance from time to time.
+type roamingSession struct {
+	conn *pgx.Conn
+	// firstRead is true if the client connected without a token and has completed no
+	// read or write since. Its next read then goes through the read barrier.
+	firstRead   bool
+	number      int
+	random      *rand.Rand
+	recorder    *historyRecorder
+	connectedAt time.Duration
 }
 
-// TestConsistencyHistory guards against stale reads, lost, doubled and mixed
-// writes while sessions roam and primaries crash, are cut off and pause.
+// TestConsistencyHistory guards against stale reads, and lost, duplicate and
+// conflicting writes, while sessions move between instances and primaries crash, are
+// cut off or pause.
 func TestConsistencyHistory(t *testing.T) {
 	t.Parallel()
 	operations := historyOperations
-	if text := os.Getenv(historyEnv); text != "" {
-		number, err := strconv.Atoi(text)
+	if value := os.Getenv(historyEnv); value != "" {
+		number, err := strconv.Atoi(value)
 		must(t, err)
 		operations = number
 	}
-	f := newFixture(t, 3, unlimited(), detectFailover)
+	f := newFixture(t, 3, unlimited(), detectTimeFailover)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout+time.Duration(operations)*20*time.Millisecond)
 	defer cancel()
 	f.ctx = ctx
-	r := &recorder{fixture: f, started: time.Now(), target: int64(operations)}
-	var running sync.WaitGroup
+	recorder := &historyRecorder{fixture: f, startedAt: time.Now(), target: int64(operations)}
+	var sessions sync.WaitGroup
 	for number := range historySessions {
-		running.Go(func() {
-			s := &roaming{number: number, r: r, random: rand.New(rand.NewPCG(historySeed, uint64(number)))}
+		sessions.Go(func() {
+			s := &roamingSession{number: number, recorder: recorder, random: rand.New(rand.NewPCG(historySeed, uint64(number)))}
 			s.run()
 		})
 	}
-	faults := r.injectFaults()
-	running.Wait()
-	took := time.Since(r.started)
-	r.readJournal()
-	h := &r.history
+	failovers := recorder.injectFaults()
+	sessions.Wait()
+	duration := time.Since(recorder.startedAt)
+	recorder.readJournal()
+	h := &recorder.history
 	reads, committed, unknown, notRun := 0, 0, 0, 0
 	for _, o := range h.operations {
 		switch {
@@ -89,66 +94,66 @@
 		}
 	}
 	t.Logf("%d operations and %d transfers or sums in %v, %d failovers: %d reads (%d of writes that a failover dropped), %d writes committed, %d unknown, %d not run",
-		len(h.operations), r.count.Load()-int64(len(h.operations)), took, faults, reads, h.dirtyReads(), committed, unknown, notRun)
+		len(h.operations), recorder.operationCount.Load()-int64(len(h.operations)), duration, failovers, reads, h.countDirtyReads(), committed, unknown, notRun)
 	if err := h.check(); err != nil {
 		t.Error(err)
 	}
-	if faults == 0 || committed < operations/20 || reads < operations/20 {
-		t.Error("too little happened for the check to prove anything")
+	if failovers == 0 || committed < operations/20 || reads < operations/20 {
+		t.Error("the run had no failover or too few reads or committed writes for a meaningful check")
 	}
 }
 
-func (r *recorder) done() bool {
-	return r.count.Load() >= r.target || r.fixture.ctx.Err() != nil
+func (r *historyRecorder) isDone() bool {
+	return r.operationCount.Load() >= r.target || r.fixture.ctx.Err() != nil
 }
 
-func (r *recorder) now() time.Duration {
-	return time.Since(r.started)
+func (r *historyRecorder) elapsed() time.Duration {
+	return time.Since(r.startedAt)
 }
 
-func (r *recorder) record(o operation) {
+func (r *historyRecorder) record(o operation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.operations = append(r.history.operations, o)
 }
 
-// injectFaults makes one failover after each part of the operations, in turn
-// by a crash, a partition and a pause, and returns their number.
-func (r *recorder) injectFaults() int {
-	const parts, longest = 4, 5000
-	f, faults := r.fixture, 0
-	step := min(max(r.target/parts, 200), longest)
-	for next := step; next < r.target; next += step {
-		f.await("progress of the sessions", func() bool { return r.count.Load() >= next })
-		old := f.group.Primary()
+// injectFaults causes a failover after each interval of the operations, by a
+// partition, a crash and a pause in turn, and returns the number of failovers.
+func (r *historyRecorder) injectFaults() int {
+	const parts, maxInterval = 4, 5000
+	f, injected := r.fixture, 0
+	interval := min(max(r.target/parts, 200), maxInterval)
+	for threshold := interval; threshold < r.target; threshold += interval {
+		f.await("progress of the sessions", func() bool { return r.operationCount.Load() >= threshold })
+		oldPrimary := f.group.Primary()
 		var heal func()
-		switch fault := []faultmatrix.Fault{faultmatrix.FaultPrimaryCutOff, faultmatrix.FaultPrimaryCrash, "Pause"}[faults%3]; fault {
+		switch fault := []faultmatrix.Fault{faultmatrix.FaultPrimaryCutOff, faultmatrix.FaultPrimaryCrash, "Pause"}[injected%3]; fault {
 		case faultmatrix.FaultPrimaryCutOff:
-			f.group.PartitionServer(old.ID(), true)
-			heal = func() { f.group.PartitionServer(old.ID(), false) }
+			f.group.PartitionServer(oldPrimary.ID(), true)
+			heal = func() { f.group.PartitionServer(oldPrimary.ID(), false) }
 		case faultmatrix.FaultPrimaryCrash:
-			old.Crash()
-			heal = func() { old.Restart(true) }
+			oldPrimary.Crash()
+			heal = func() { oldPrimary.Restart(true) }
 		default:
-			old.SetPaused(true)
-			heal = func() { old.SetPaused(false) }
+			oldPrimary.SetPaused(true)
+			heal = func() { oldPrimary.SetPaused(false) }
 		}
 		f.await("promotion", func() bool {
 			primary := f.group.Primary()
-			return primary != nil && primary != old
+			return primary != nil && primary != oldPrimary
 		})
 		heal()
 		must(f.t, f.group.WaitApplied(f.ctx))
-		faults++
+		injected++
 	}
-	return faults
+	return injected
 }
 
-// run makes operations until the target is reached.
-func (s *roaming) run() {
-	for !s.r.done() {
+// run performs random operations until the recorder has reached its target.
+func (s *roamingSession) run() {
+	for !s.recorder.isDone() {
 		if s.conn == nil || s.conn.IsClosed() || s.random.IntN(20) == 0 {
-			s.roam()
+			s.reconnect()
 			continue
 		}
 		register := s.random.IntN(historyRegisters)
@@ -162,13 +167,13 @@
 		default:
 			s.read(register)
 		}
-		s.r.count.Add(1)
+		s.recorder.operationCount.Add(1)
 	}
-	s.leave()
+	s.disconnect()
 }
 
-// leave closes the connection and returns the token of the session.
-func (s *roaming) leave() string {
+// disconnect closes the connection and returns the token of the session.
+func (s *roamingSession) disconnect() string {
 	if s.conn == nil {
 		return ""
 	}
@@ -178,68 +183,72 @@
 	return token
 }
 
-// roam goes on at another instance, with the token in one half of the cases. A
-// session without token reads behind a barrier, which covers its own writes.
-func (s *roaming) roam() {
-	f := s.r.fixture
-	token := s.leave()
+// reconnect connects to a random instance, with the token of the session in half of
+// the cases. The first read of a session without a token goes through the read
+// barrier, so it must return the client's own earlier writes, too.
+func (s *roamingSession) reconnect() {
+	f := s.recorder.fixture
+	token := s.disconnect()
 	if s.random.IntN(2) == 0 {
 		token = ""
 	}
-	s.arrived = s.r.now()
-	s.conn, _ = f.connect(f.members[s.random.IntN(len(f.members))], token)
-	s.fresh = token == ""
+	s.connectedAt = s.recorder.elapsed()
+	s.conn, _ = f.connect(f.instances[s.random.IntN(len(f.instances))], token)
+	s.firstRead = token == ""
 }
 
-func (s *roaming) write(register int) {
-	f := s.r.fixture
+func (s *roamingSession) write(register int) {
+	f := s.recorder.fixture
 	const insert = "INSERT INTO journal (op, register, version) SELECT $1, $2, coalesce(max(version), 0) + 1 FROM journal WHERE register = $2 RETURNING version"
-	o := operation{call: s.r.now(), kind: kindWrite, register: register, session: s.number}
-	o.op = fmt.Sprintf("%d-%d", s.number, o.call)
+	o := operation{calledAt: s.recorder.elapsed(), kind: kindWrite, register: register, session: s.number}
+	o.op = fmt.Sprintf("%d-%d", s.number, o.calledAt)
 	err := s.conn.QueryRow(f.ctx, insert, o.op, register).Scan(&o.version)
-	o.outcome, o.returned, o.writer = outcome(err), s.r.now(), o.op
-	s.fresh = s.fresh && err != nil
-	s.r.record(o)
+	o.outcome, o.returnedAt, o.writer = outcome(err), s.recorder.elapsed(), o.op
+	s.firstRead = s.firstRead && err != nil
+	s.recorder.record(o)
 }
 
-func (s *roaming) read(register int) {
-	f := s.r.fixture
-	const last = "SELECT version, op FROM journal WHERE register = $1 ORDER BY version DESC LIMIT 1"
-	o := operation{call: s.r.now(), fresh: s.fresh, kind: kindRead, op: fmt.Sprintf("read of session %d", s.number), register: register, session: s.number}
-	if s.fresh {
-		o.call = s.arrived
+func (s *roamingSession) read(register int) {
+	f := s.recorder.fixture
+	const newest = "SELECT version, op FROM journal WHERE register = $1 ORDER BY version DESC LIMIT 1"
+	o := operation{calledAt: s.recorder.elapsed(), firstRead: s.firstRead, kind: kindRead, op: fmt.Sprintf("read of session %d", s.number), register: register, session: s.number}
+	// The read barrier covers only the writes that were acknowledged before the session
+	// connected.
+	if s.firstRead {
+		o.calledAt = s.connectedAt
 	}
-	err := s.conn.QueryRow(f.ctx, last, register).Scan(&o.version, &o.writer)
-	o.returned = s.r.now()
+	err := s.conn.QueryRow(f.ctx, newest, register).Scan(&o.version, &o.writer)
+	o.returnedAt = s.recorder.elapsed()
 	if err != nil && !errors.Is(err, pgx.ErrNoRows) {
-		s.leaveOnLostPosition(err)
+		s.disconnectOnLostPosition(err)
 		return
 	}
-	s.fresh = false
-	s.r.record(o)
+	s.firstRead = false
+	s.recorder.record(o)
 }
 
-// leaveOnLostPosition drops a session whose position a failover dropped, as
-// its callers must.
-func (s *roaming) leaveOnLostPosition(err error) {
-	if code(err) == "08006" {
-		_ = s.leave()
+// disconnectOnLostPosition closes a session if a failover dropped the log position
+// of its token. Callers must do the same, because the session cannot read any more.
+func (s *roamingSession) disconnectOnLostPosition(err error) {
+	if sqlState(err) == "08006" {
+		_ = s.disconnect()
 	}
 }
 
-// transfer moves sheets from one stock row to the other.
-func (s *roaming) transfer() {
-	f := s.r.fixture
+// transfer moves a random amount from one stock row to the other in a transaction,
+// which it rolls back in a quarter of the cases.
+func (s *roamingSession) transfer() {
+	f := s.recorder.fixture
 	tx, err := s.conn.Begin(f.ctx)
 	if err != nil {
 		return
 	}
 	amount := 1 + s.random.IntN(5)
-	for _, part := range []struct {
+	for _, change := range []struct {
 		card   string
 		sheets int
 	}{{"blue", amount}, {"ivory", -amount}} {
-		if _, err := tx.Exec(f.ctx, "UPDATE stock SET sheets = sheets + $1 WHERE card = $2", part.sheets, part.card); err != nil {
+		if _, err := tx.Exec(f.ctx, "UPDATE stock SET sheets = sheets + $1 WHERE card = $2", change.sheets, change.card); err != nil {
 			_ = tx.Rollback(f.ctx)
 			return
 		}
@@ -251,24 +260,25 @@
 	_ = tx.Commit(f.ctx)
 }
 
-func (s *roaming) sum() {
+func (s *roamingSession) sum() {
 	var sum int
-	if err := s.conn.QueryRow(s.r.fixture.ctx, "SELECT sum(sheets) FROM stock").Scan(&sum); err != nil {
+	if err := s.conn.QueryRow(s.recorder.fixture.ctx, "SELECT sum(sheets) FROM stock").Scan(&sum); err != nil {
 		return
 	}
-	s.r.mu.Lock()
-	defer s.r.mu.Unlock()
-	s.r.history.sums = append(s.r.history.sums, sum)
+	s.recorder.mu.Lock()
+	defer s.recorder.mu.Unlock()
+	s.recorder.history.sums = append(s.recorder.history.sums, sum)
 }
 
-// readJournal reads the final state through a new session.
-func (r *recorder) readJournal() {
+// readJournal reads the final journal and the sum of the stock rows through a new
+// session.
+func (r *historyRecorder) readJournal() {
 	f := r.fixture
-	conn := f.mustConnect(f.members[0])
+	conn := f.mustConnect(f.instances[0])
 	rows, err := conn.Query(f.ctx, "SELECT op, register, version FROM journal")
 	must(f.t, err)
-	r.history.journal, err = pgx.CollectRows(rows, func(row pgx.CollectableRow) (entry, error) {
-		var e entry
+	r.history.journal, err = pgx.CollectRows(rows, func(row pgx.CollectableRow) (journalRow, error) {
+		var e journalRow
 		err := row.Scan(&e.op, &e.register, &e.version)
 		return e, err
 	})
--- a/faultmatrix/failover_test.go
+++ b/faultmatrix/failover_test.go
@@ -8,102 +8,105 @@
 
 const insertOp = "INSERT INTO journal (op, register, version) VALUES ($1, 0, 0)"
 
-// TestInstanceKilledInTransaction guards against a half booking that stays
-// when an instance dies in the middle of a transaction.
+// TestInstanceKilledInTransaction guards against a partial transaction that remains
+// after an instance was killed in the middle of it, and against one that keeps the
+// next writer from starting.
 func TestInstanceKilledInTransaction(t *testing.T) {
 	t.Parallel()
-	f := newFixture(t, 2, unlimited(), detectNever)
-	tx, err := f.mustConnect(f.members[0]).Begin(f.ctx)
+	f := newFixture(t, 2, unlimited(), detectTimeNoFailover)
+	tx, err := f.mustConnect(f.instances[0]).Begin(f.ctx)
 	must(t, err)
 	for _, op := range []string{"half-1", "half-2"} {
 		_, err := tx.Exec(f.ctx, insertOp, op)
 		must(t, err)
 	}
-	f.kill(f.members[0])
+	f.kill(f.instances[0])
 	if err := tx.Commit(f.ctx); err == nil {
-		t.Fatal("the commit was acknowledged by a dead instance")
+		t.Fatal("a killed instance acknowledged the commit")
 	}
-	// The writer of the dead instance is rolled back, so that this one can start.
-	_, err = f.mustConnect(f.members[1]).Exec(f.ctx, insertOp, "after")
+	// The stand-in runs one write transaction at a time. This one can start only once
+	// the transaction of the killed instance is rolled back.
+	_, err = f.mustConnect(f.instances[1]).Exec(f.ctx, insertOp, "after")
 	must(t, err)
-	got := []int{f.journalCount(f.members[1], "half-1"), f.journalCount(f.members[1], "half-2"), f.journalCount(f.members[1], "after")}
-	if diff := cmp.Diff([]int{0, 0, 1}, got); diff != "" {
-		t.Errorf("journal after the kill (-want +got):\n%s", diff)
+	counts := []int{f.journalCount(f.instances[1], "half-1"), f.journalCount(f.instances[1], "half-2"), f.journalCount(f.instances[1], "after")}
+	if diff := cmp.Diff([]int{0, 0, 1}, counts); diff != "" {
+		t.Errorf("journal rows after the kill (-want +got):\n%s", diff)
 	}
 }
 
-// TestCutOffPrimaryWithInstance guards against a write that is acknowledged on
-// the side of a partition that holds the old primary and one instance only.
+// TestCutOffPrimaryWithInstance guards against a write that is acknowledged on the
+// minority side of a partition, which has only the old primary and one instance.
 func TestCutOffPrimaryWithInstance(t *testing.T) {
 	t.Parallel()
-	f := newFixture(t, 3, unlimited(), detectFailover)
-	near := f.members[0]
-	old := f.group.Primary()
-	conn := f.mustConnect(near)
+	f := newFixture(t, 3, unlimited(), detectTimeFailover)
+	minority := f.instances[0]
+	oldPrimary := f.group.Primary()
+	conn := f.mustConnect(minority)
 	_, err := conn.Exec(f.ctx, insertOp, "before")
 	must(t, err)
-	f.partition(near, true)
+	f.setPartitioned(minority, true)
 	_, err = conn.Exec(f.ctx, insertOp, "cut-off")
 	if err == nil {
-		t.Fatal("a write on the cut-off side was acknowledged")
+		t.Fatal("a write on the minority side of the partition was acknowledged")
 	}
-	f.await("promotion", func() bool { return f.group.Primary() != old })
-	_, writeErr := f.mustConnect(f.members[1]).Exec(f.ctx, insertOp, "other-side")
+	f.await("promotion", func() bool { return f.group.Primary() != oldPrimary })
+	_, writeErr := f.mustConnect(f.instances[1]).Exec(f.ctx, insertOp, "other-side")
 	must(t, writeErr)
-	f.partition(near, false)
-	count := f.journalCount(f.members[1], "cut-off")
+	f.setPartitioned(minority, false)
+	count := f.journalCount(f.instances[1], "cut-off")
 	if outcome(err) == outcomeNotRun && count != 0 || count > 1 {
-		t.Errorf("the write was reported as %s and is there %d times", outcome(err), count)
+		t.Errorf("the write on the minority side was reported as %s but has %d journal rows", outcome(err), count)
 	}
-	got := []int{f.journalCount(f.members[1], "before"), f.journalCount(f.members[1], "other-side")}
-	if diff := cmp.Diff([]int{1, 1}, got); diff != "" {
-		t.Errorf("acknowledged writes (-want +got):\n%s", diff)
+	counts := []int{f.journalCount(f.instances[1], "before"), f.journalCount(f.instances[1], "other-side")}
+	if diff := cmp.Diff([]int{1, 1}, counts); diff != "" {
+		t.Errorf("journal rows of acknowledged writes (-want +got):\n%s", diff)
 	}
 }
 
-// partition cuts the first server with one instance off from everything else,
-// or heals the cut.
-func (f *fixture) partition(near *member, cut bool) {
+// setPartitioned cuts the first server and one instance off from all other servers
+// and instances and from the platform, or heals the partition.
+func (f *fixture) setPartitioned(minority *testInstance, partitioned bool) {
 	servers := f.group.Servers()
-	f.group.PartitionServer(servers[0].ID(), cut)
+	f.group.PartitionServer(servers[0].ID(), partitioned)
 	for _, server := range servers[1:] {
-		f.network.setCut(near.id, server.Addr(), cut)
+		f.network.setCut(minority.id, server.Addr(), partitioned)
 	}
-	f.network.setCut(near.id, f.platformURL[len("http://"):], cut)
-	for _, other := range f.members {
-		if other == near {
+	f.network.setCut(minority.id, f.platformURL[len("http://"):], partitioned)
+	for _, other := range f.instances {
+		if other == minority {
 			continue
 		}
-		f.network.setCut(near.id, other.peers, cut)
-		f.network.setCut(other.id, near.peers, cut)
-		f.network.setCut(other.id, servers[0].Addr(), cut)
+		f.network.setCut(minority.id, other.peerAddress, partitioned)
+		f.network.setCut(other.id, minority.peerAddress, partitioned)
+		f.network.setCut(other.id, servers[0].Addr(), partitioned)
 	}
 }
 
-// TestCommitAnswerLost guards against a write that runs twice, or is reported
-// as not run, when the answer to its commit is lost after the effect.
+// TestCommitAnswerLost guards against a write that runs twice, or is reported as not
+// run, when the response to its commit is lost after the commit took effect.
 func TestCommitAnswerLost(t *testing.T) {
 	t.Parallel()
-	f := newFixture(t, 2, unlimited(), detectNever)
+	f := newFixture(t, 2, unlimited(), detectTimeNoFailover)
 	for _, hint := range []string{"", "/* nutmegpier: idempotent */ "} {
-		conn := f.mustConnect(f.members[0])
+		conn := f.mustConnect(f.instances[0])
 		f.group.Primary().DropCommitResponses(1)
 		op := "lost" + hint
 		_, err := conn.Exec(f.ctx, hint+"INSERT INTO journal (op, register, version) SELECT $1, 0, 0 WHERE NOT EXISTS (SELECT 1 FROM journal WHERE op = $1)", op)
 		if got := outcome(err); got != outcomeCommitted && got != outcomeUnknown {
 			t.Errorf("outcome = %s (%v), want Committed or Unknown", got, err)
 		}
-		if diff := cmp.Diff(1, f.journalCount(f.members[1], op)); diff != "" {
-			t.Errorf("effects of the write (-want +got):\n%s", diff)
+		if diff := cmp.Diff(1, f.journalCount(f.instances[1], op)); diff != "" {
+			t.Errorf("journal rows of the write (-want +got):\n%s", diff)
 		}
 	}
 }
 
-// TestTransactionCommitAnswerLost guards against a repeated transaction.
+// TestTransactionCommitAnswerLost guards against a transaction that is run again when
+// the response to its commit is lost.
 func TestTransactionCommitAnswerLost(t *testing.T) {
 	t.Parallel()
-	f := newFixture(t, 1, unlimited(), detectNever)
-	tx, err := f.mustConnect(f.members[0]).Begin(f.ctx)
+	f := newFixture(t, 1, unlimited(), detectTimeNoFailover)
+	tx, err := f.mustConnect(f.instances[0]).Begin(f.ctx)
 	must(t, err)
 	_, err = tx.Exec(f.ctx, insertOp, "tx")
 	must(t, err)
@@ -111,17 +114,17 @@
 	if got := outcome(tx.Commit(f.ctx)); got != outcomeCommitted && got != outcomeUnknown {
 		t.Errorf("outcome = %s, want Committed or Unknown", got)
 	}
-	if diff := cmp.Diff(1, f.journalCount(f.members[0], "tx")); diff != "" {
-		t.Errorf("effects of the transaction (-want +got):\n%s", diff)
+	if diff := cmp.Diff(1, f.journalCount(f.instances[0], "tx")); diff != "" {
+		t.Errorf("journal rows of the transaction (-want +got):\n%s", diff)
 	}
 }
 
-// TestPrimaryCrashInTransaction guards against statements of a lost
-// transaction that are silently continued on the next primary.
+// TestPrimaryCrashInTransaction guards against a transaction that is lost with its
+// primary and whose remaining statements run on the next primary without an error.
 func TestPrimaryCrashInTransaction(t *testing.T) {
 	t.Parallel()
-	f := newFixture(t, 1, unlimited(), detectFailover)
-	conn := f.mustConnect(f.members[0])
+	f := newFixture(t, 1, unlimited(), detectTimeFailover)
+	conn := f.mustConnect(f.instances[0])
 	tx, err := conn.Begin(f.ctx)
 	must(t, err)
 	_, err = tx.Exec(f.ctx, insertOp, "first")
@@ -130,12 +133,12 @@
 	if _, err = tx.Exec(f.ctx, insertOp, "second"); err == nil {
 		err = tx.Commit(f.ctx)
 	}
-	if got := outcome(err); got == outcomeCommitted {
-		t.Error("the transaction was acknowledged although its primary crashed")
+	if counts := outcome(err); counts == outcomeCommitted {
+		t.Error("the transaction was acknowledged although its primary crashed before the commit")
 	}
 	_ = conn.Close(f.ctx)
-	got := []int{f.journalCount(f.members[0], "first"), f.journalCount(f.members[0], "second")}
-	if diff := cmp.Diff([]int{0, 0}, got); diff != "" {
-		t.Errorf("journal after the crash (-want +got):\n%s", diff)
+	counts := []int{f.journalCount(f.instances[0], "first"), f.journalCount(f.instances[0], "second")}
+	if diff := cmp.Diff([]int{0, 0}, counts); diff != "" {
+		t.Errorf("journal rows after the crash (-want +got):\n%s", diff)
 	}
 }
--- a/faultmatrix/fixture_test.go
+++ b/faultmatrix/fixture_test.go
@@ -31,68 +31,71 @@
 	adminToken    = "operator-token"
 	testDatabase  = "orders"
 	testWorkspace = "die-room"
-	// testTimeout bounds each wait. It is generous because CI machines are busy.
+	// testTimeout limits each wait. It is long because CI machines may be busy.
 	testTimeout = 2 * time.Minute
 )
 
-// Detection times of fixtures. Tests without a failover use a long one, because
-// a busy CI machine can delay the servers of a fixture for a second, and a
-// failover then rightly aborts transactions.
+// Failure detection times of fixtures. Tests without a failover use a long one,
+// because a busy CI machine can delay the stand-in servers for a second. With a short
+// detection time that would cause a failover, which correctly aborts transactions.
 const (
-	detectFailover = 600 * time.Millisecond
-	detectNever    = 10 * time.Minute
+	detectTimeFailover   = 600 * time.Millisecond
+	detectTimeNoFailover = 10 * time.Minute
 )
 
 var testDataCentres = []fleet.DataCentre{"gt-1", "gt-2", "gt-3"}
 
-// fixture is a deployment on stand-ins over loopback.
+// fixture is a deployment of instances with a stand-in database group and a stand-in
+// platform, all on the loopback interface.
 type fixture struct {
 	ctx         context.Context
-	detect      time.Duration
+	detectTime  time.Duration
 	group       *standin.Group
 	key         sheet.GeneratedKey
 	limits      sheet.Workspace
 	log         *recording
-	members     []*member
+	instances   []*testInstance
 	network     *network
 	platform    *standin.Platform
 	platformURL string
 	t           *testing.T
 }
 
-// member is a running instance of a fixture.
-type member struct {
-	admin    string
-	callers  string
-	cancel   context.CancelFunc
-	done     chan error
-	ended    bool
-	id       fleet.InstanceID
-	instance *instance.Instance
-	peers    string
+// testInstance is an instance of a fixture. runResult receives the error of its Run,
+// and exited is true once waitForExit was called.
+type testInstance struct {
+	adminURL      string
+	callerAddress string
+	cancel        context.CancelFunc
+	runResult     chan error
+	exited        bool
+	id            fleet.InstanceID
+	instance      *instance.Instance
+	peerAddress   string
 }
 
-// newFixture starts a group, instances in different data centres, and a sheet.
-func newFixture(t *testing.T, instances int, limits sheet.Workspace, detect time.Duration) *fixture {
+// newFixture starts a database group and instances in different data centres,
+// publishes a sheet, and waits until all instances are ready.
+func newFixture(t *testing.T, instanceCount int, limits sheet.Workspace, detectTime time.Duration) *fixture {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
-	servers, err := standin.NewGroup(standin.Options{ConnectionLimit: 60, ID: testDatabase, ReceiveDelay: time.Millisecond})
+	databaseGroup, err := standin.NewGroup(standin.Options{ConnectionLimit: 60, ID: testDatabase, ReceiveDelay: time.Millisecond})
 	must(t, err)
-	t.Cleanup(servers.Close)
-	must(t, servers.Exec(ctx, "CREATE TABLE journal (op TEXT NOT NULL, register INTEGER NOT NULL, version INTEGER NOT NULL)"))
-	must(t, servers.Exec(ctx, "CREATE INDEX journal_register ON journal (register, version)"))
-	must(t, servers.Exec(ctx, "CREATE TABLE stock (card TEXT PRIMARY KEY, sheets INTEGER NOT NULL)"))
-	must(t, servers.Exec(ctx, "INSERT INTO stock VALUES ('blue', 500), ('ivory', 500)"))
+	t.Cleanup(databaseGroup.Close)
+	must(t, databaseGroup.Exec(ctx, "CREATE TABLE journal (op TEXT NOT NULL, register INTEGER NOT NULL, version INTEGER NOT NULL)"))
+	must(t, databaseGroup.Exec(ctx, "CREATE INDEX journal_register ON journal (register, version)"))
+	must(t, databaseGroup.Exec(ctx, "CREATE TABLE stock (card TEXT PRIMARY KEY, sheets INTEGER NOT NULL)"))
+	must(t, databaseGroup.Exec(ctx, "INSERT INTO stock VALUES ('blue', 500), ('ivory', 500)"))
 	f := &fixture{
-		ctx:      ctx,
-		detect:   detect,
-		group:    servers,
-		limits:   limits,
-		log:      &recording{},
-		network:  newNetwork(),
-		platform: standin.NewPlatform(),
-		t:        t,
+		ctx:        ctx,
+		detectTime: detectTime,
+		group:      databaseGroup,
+		limits:     limits,
+		log:        &recording{},
+		network:    newNetwork(),
+		platform:   standin.NewPlatform(),
+		t:          t,
 	}
 	platformURL, stop, err := f.platform.Listen()
 	must(t, err)
@@ -102,28 +105,28 @@
 	must(t, err)
 	f.key, err = sheet.GenerateKey(strings.NewReader(strings.Repeat("random", 32)), salt, 4096)
 	must(t, err)
-	for range instances {
+	for range instanceCount {
 		f.start()
 	}
-	publication, err := f.client(0).Publish(ctx, sheet.PublishRequest{Content: f.content(f.sheet())})
+	publication, err := f.adminClient(0).Publish(ctx, sheet.PublishRequest{Content: f.encodeSheet(f.sheet())})
 	must(t, err)
-	// The roster is still forming, so a majority may confirm the sheet only
-	// later. AwaitReady asks each instance to hold it.
+	// The roster is not complete yet, so a majority may confirm the sheet only later.
+	// AwaitReady waits until each instance holds it.
 	if publication.Outcome != sheet.OutcomeAccepted && publication.Outcome != sheet.OutcomeStored {
-		t.Fatalf("first publication: %+v", publication)
+		t.Fatalf("the first publication was neither accepted nor stored: %+v", publication)
 	}
-	for _, m := range f.members {
-		must(t, m.instance.AwaitReady(ctx))
+	for _, inst := range f.instances {
+		must(t, inst.instance.AwaitReady(ctx))
 	}
 	return f
 }
 
-// unlimited are limits that no test reaches.
+// unlimited returns limits that no test reaches.
 func unlimited() sheet.Workspace {
 	return sheet.Workspace{Burst: 100_000, Rate: 1_000_000}
 }
 
-// sheet returns the first sheet.
+// sheet returns the sheet of the fixture, with its current key and limits.
 func (f *fixture) sheet() sheet.Sheet {
 	workspace := f.limits
 	workspace.Databases = []fleet.GroupID{testDatabase}
@@ -132,74 +135,74 @@
 	workspace.Salt = f.key.Salt
 	workspace.Weight = 1
 	workspace.Workspace = testWorkspace
-	published := sheet.Sheet{Format: sheet.FormatVersion, Workspaces: []sheet.Workspace{workspace}}
+	result := sheet.Sheet{Format: sheet.FormatVersion, Workspaces: []sheet.Workspace{workspace}}
 	for _, dataCentre := range testDataCentres {
-		published.DataCentres = append(published.DataCentres, sheet.DataCentre{DataCentre: dataCentre, State: sheet.StateInService})
+		result.DataCentres = append(result.DataCentres, sheet.DataCentre{DataCentre: dataCentre, State: sheet.StateInService})
 	}
-	return published
+	return result
 }
 
-func (f *fixture) content(published sheet.Sheet) string {
-	encoded, err := json.Marshal(published)
+func (f *fixture) encodeSheet(s sheet.Sheet) string {
+	encoded, err := json.Marshal(s)
 	must(f.t, err)
 	return string(encoded)
 }
 
-// start starts one more instance.
-func (f *fixture) start() *member {
+// start starts another instance and adds it to the fixture.
+func (f *fixture) start() *testInstance {
 	f.t.Helper()
-	number := len(f.members)
-	id := fleet.InstanceID(fmt.Sprintf("i%d", number+1))
-	configured := f.settings(id, testDataCentres[number%len(testDataCentres)])
-	listeners, err := instance.Listen(configured.Listen)
+	index := len(f.instances)
+	id := fleet.InstanceID(fmt.Sprintf("i%d", index+1))
+	config := f.settings(id, testDataCentres[index%len(testDataCentres)])
+	listeners, err := instance.Listen(config.Listen)
 	must(f.t, err)
 	f.platform.AddInstance(metastore.Instance{
-		DataCentre:  configured.DataCentre,
+		DataCentre:  config.DataCentre,
 		ID:          id,
 		PeerAddress: listeners.Peers.Addr().String(),
 		State:       metastore.InstanceLive,
 	})
 	dial := f.network.dialer(id)
 	client := &http.Client{Transport: &http.Transport{DialContext: dial}}
-	opened, err := instance.New(instance.Config{
+	created, err := instance.New(instance.Config{
 		Dial:      dial,
-		Epoch:     fleet.Epoch(number + 1),
-		Events:    event.New(id, fleet.Epoch(number+1), time.Now, event.NewLogger(f.log, "text", event.LevelInfo), 1000),
+		Epoch:     fleet.Epoch(index + 1),
+		Events:    event.New(id, fleet.Epoch(index+1), time.Now, event.NewLogger(f.log, "text", event.LevelInfo), 1000),
 		Listeners: listeners,
 		Now:       time.Now,
 		PeerHTTP:  client,
 		Platform:  metastore.NewClient(client, f.platformURL),
-		Random:    rand.New(rand.NewPCG(1, uint64(number))),
-		Settings:  configured,
+		Random:    rand.New(rand.NewPCG(1, uint64(index))),
+		Settings:  config,
 	})
 	must(f.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	m := &member{
-		admin:    "http://" + listeners.Admin.Addr().String(),
-		callers:  listeners.Callers.Addr().String(),
-		cancel:   cancel,
-		done:     make(chan error, 1),
-		id:       id,
-		instance: opened,
-		peers:    listeners.Peers.Addr().String(),
+	inst := &testInstance{
+		adminURL:      "http://" + listeners.Admin.Addr().String(),
+		callerAddress: listeners.Callers.Addr().String(),
+		cancel:        cancel,
+		runResult:     make(chan error, 1),
+		id:            id,
+		instance:      created,
+		peerAddress:   listeners.Peers.Addr().String(),
 	}
-	go func() { m.done <- opened.Run(ctx) }()
-	f.members = append(f.members, m)
+	go func() { inst.runResult <- created.Run(ctx) }()
+	f.instances = append(f.instances, inst)
 	f.t.Cleanup(func() {
-		m.instance.Kill()
-		_ = f.end(m)
+		inst.instance.Kill()
+		_ = f.waitForExit(inst)
 	})
-	return m
+	return inst
 }
 
 func (f *fixture) settings(id fleet.InstanceID, dataCentre fleet.DataCentre) settings.Settings {
-	sum := sha256.Sum256([]byte(adminToken))
-	configured := settings.Settings{
-		Admin:      settings.Admin{Tokens: []settings.Token{{Role: settings.RolePublish, TokenSHA256: hex.EncodeToString(sum[:])}}},
+	tokenHash := sha256.Sum256([]byte(adminToken))
+	config := settings.Settings{
+		Admin:      settings.Admin{Tokens: []settings.Token{{Role: settings.RolePublish, TokenSHA256: hex.EncodeToString(tokenHash[:])}}},
 		Backend:    settings.Backend{AnswerTimeout: 20 * time.Second, ConnectTimeout: 2 * time.Second, MaxOpenings: 4, User: "proxy"},
 		DataCentre: dataCentre,
 		Detection: settings.Detection{
-			DetectTime:      f.detect,
+			DetectTime:      f.detectTime,
 			PollInterval:    100 * time.Millisecond,
 			SuspectInterval: 50 * time.Millisecond,
 		},
@@ -215,54 +218,57 @@
 			ValidityLease: 4 * time.Second,
 		},
 	}
-	for number, server := range f.group.Servers() {
-		configured.Groups[0].Servers = append(configured.Groups[0].Servers, settings.Server{
+	for i, server := range f.group.Servers() {
+		config.Groups[0].Servers = append(config.Groups[0].Servers, settings.Server{
 			Address:    server.Addr(),
-			DataCentre: testDataCentres[number%len(testDataCentres)],
+			DataCentre: testDataCentres[i%len(testDataCentres)],
 			Server:     server.ID(),
 		})
 	}
-	return configured
+	return config
 }
 
-// end waits for the end of an instance and returns the error of its Run.
-func (f *fixture) end(m *member) error {
-	if m.ended {
+// waitForExit waits until an instance has stopped, and returns the error of its Run.
+// After the first call it returns nil at once.
+func (f *fixture) waitForExit(inst *testInstance) error {
+	if inst.exited {
 		return nil
 	}
-	m.ended = true
-	defer m.cancel()
-	f.platform.RemoveInstance(m.id)
-	return <-m.done
+	inst.exited = true
+	defer inst.cancel()
+	f.platform.RemoveInstance(inst.id)
+	return <-inst.runResult
 }
 
-// stop ends an instance by plan.
-func (f *fixture) stop(m *member) error {
-	m.cancel()
-	return f.end(m)
+// stop performs a planned stop of an instance, with a drain.
+func (f *fixture) stop(inst *testInstance) error {
+	inst.cancel()
+	return f.waitForExit(inst)
 }
 
-// kill ends an instance without a drain.
-func (f *fixture) kill(m *member) {
-	m.instance.Kill()
-	_ = f.end(m)
+// kill stops an instance without a drain, like a crash.
+func (f *fixture) kill(inst *testInstance) {
+	inst.instance.Kill()
+	_ = f.waitForExit(inst)
 }
 
-// client returns a client of the administration API of an instance.
-func (f *fixture) client(number int) *operator.Client {
-	return operator.NewClient(http.DefaultClient, f.members[number].admin, adminToken)
+// adminClient returns a client for the administration API of the instance at the
+// index.
+func (f *fixture) adminClient(index int) *operator.Client {
+	return operator.NewClient(http.DefaultClient, f.instances[index].adminURL, adminToken)
 }
 
-// connect opens a session, with a token when it is not empty.
-func (f *fixture) connect(m *member, token string) (*pgx.Conn, error) {
-	address := url.URL{
-		Host:     m.callers,
+// connect opens a session through an instance. A token that is not empty is passed as
+// the session token.
+func (f *fixture) connect(inst *testInstance, token string) (*pgx.Conn, error) {
+	connectionURL := url.URL{
+		Host:     inst.callerAddress,
 		Path:     testDatabase,
 		RawQuery: "sslmode=disable",
 		Scheme:   "postgres",
 		User:     url.UserPassword(testWorkspace, f.key.Key),
 	}
-	config, err := pgx.ParseConfig(address.String())
+	config, err := pgx.ParseConfig(connectionURL.String())
 	if err != nil {
 		return nil, err
 	}
@@ -273,36 +279,37 @@
 	return pgx.ConnectConfig(f.ctx, config)
 }
 
-func (f *fixture) mustConnect(m *member) *pgx.Conn {
+func (f *fixture) mustConnect(inst *testInstance) *pgx.Conn {
 	f.t.Helper()
-	conn, err := f.connect(m, "")
+	conn, err := f.connect(inst, "")
 	must(f.t, err)
 	f.t.Cleanup(func() { _ = conn.Close(context.Background()) })
 	return conn
 }
 
-// await polls a condition until it holds. The test fails at the time bound only.
-func (f *fixture) await(what string, condition func() bool) {
+// await polls a condition until it holds. The test fails if the context of the fixture
+// ends before.
+func (f *fixture) await(description string, condition func() bool) {
 	f.t.Helper()
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for !condition() {
 		select {
 		case <-f.ctx.Done():
-			f.t.Fatalf("%s did not happen in time", what)
+			f.t.Fatalf("timed out waiting for %s", description)
 		case <-ticker.C:
 		}
 	}
 }
 
-// journalCount returns how often an operation is in the journal, read through
-// a new session.
-// A read that is refused as not run, as in a change of the roster, is repeated.
-func (f *fixture) journalCount(m *member, op string) int {
+// journalCount returns the number of journal rows of an operation, read through a new
+// session. A read that is refused and reported as not run is retried, because that
+// can happen while the roster changes.
+func (f *fixture) journalCount(inst *testInstance, op string) int {
 	f.t.Helper()
 	var count int
 	f.await("count of "+op, func() bool {
-		conn, err := f.connect(m, "")
+		conn, err := f.connect(inst, "")
 		if err != nil {
 			return false
 		}
@@ -316,28 +323,30 @@
 	return count
 }
 
-// outcome returns what the answer to a write says about its effect.
+// outcome returns the outcome of a write according to its response, which reports it in
+// the detail field of errors.
 func outcome(err error) string {
-	var answered *pgconn.PgError
+	var pgErr *pgconn.PgError
 	switch {
 	case err == nil:
 		return outcomeCommitted
-	case errors.As(err, &answered) && strings.HasPrefix(answered.Detail, "Outcome: "):
-		return strings.TrimPrefix(answered.Detail, "Outcome: ")
+	case errors.As(err, &pgErr) && strings.HasPrefix(pgErr.Detail, "Outcome: "):
+		return strings.TrimPrefix(pgErr.Detail, "Outcome: ")
 	}
 	return outcomeUnknown
 }
 
-// code returns the SQLSTATE of an error.
-func code(err error) string {
-	var answered *pgconn.PgError
-	if errors.As(err, &answered) {
-		return answered.Code
+// sqlState returns the SQLSTATE of an error response, or an empty string for other
+// errors.
+func sqlState(err error) string {
+	var pgErr *pgconn.PgError
+	if errors.As(err, &pgErr) {
+		return pgErr.Code
 	}
 	return ""
 }
 
-// Outcomes of a write as a caller learns them.
+// Outcomes of a write as reported to the caller.
 const (
 	outcomeCommitted = "Committed"
 	outcomeFailed    = "Failed"
--- a/faultmatrix/history_test.go
+++ b/faultmatrix/history_test.go
@@ -8,7 +8,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// kind is the kind of an operation on a register.
+// kind is the kind of an operation on a register. A register is a set of
+// journal rows with the same register number; its value is the row with the highest
+// version.
 type kind string
 
 const (
@@ -16,26 +18,30 @@
 	kindWrite kind = "Write"
 )
 
-// operation is one recorded operation. Times count from the start of the run.
+// operation is one recorded read or write of a register. Its times count from the
+// start of the run.
 type operation struct {
-	call time.Duration
-	// fresh is set for the first read of a session without a token.
-	fresh    bool
-	kind     kind
-	op       string
-	outcome  string
-	register int
-	returned time.Duration
-	// session is the roaming session, whose operations are in order.
+	calledAt time.Duration
+	// firstRead is true for the first read of a session that connected without a
+	// token. It goes through the read barrier.
+	firstRead bool
+	kind      kind
+	// op identifies the operation. For a write it is the op column of its row.
+	op         string
+	outcome    string
+	register   int
+	returnedAt time.Duration
+	// session is the number of the roaming session. Its operations are recorded in
+	// the order in which they ran.
 	session int
-	// version and writer are what a read saw, or what a write made. Zero and
-	// empty stand for a register without a write.
+	// version and writer are what a read returned or a write wrote. They are zero
+	// and empty if the register has no row yet, or if a write has no response.
 	version int
 	writer  string
 }
 
-// entry is one row of the journal after the run.
-type entry struct {
+// journalRow is one row of the journal table after the run.
+type journalRow struct {
 	op       string
 	register int
 	version  int
@@ -43,23 +49,24 @@
 
 // history is everything that a run recorded.
 type history struct {
-	journal    []entry
+	journal    []journalRow
 	operations []operation
-	// sums holds the sums of the transferred sheets that were read.
+	// sums holds the sums over both stock rows, as the sessions read them.
 	sums []int
 }
 
-// total is the constant sum of the stock rows.
-const total = 1000
+// stockTotal is the sum of both stock rows, which transfers do not change.
+const stockTotal = 1000
 
-// registerState is the state of a register in the model of porcupine.
+// registerState is the state of a register in the porcupine model.
 type registerState struct {
 	version int
 	writer  string
 }
 
-// registerModel is a register whose writes raise the version by one. A write
-// with an unknown outcome may take effect at any later time or never.
+// registerModel returns a porcupine model of registers in which each write increases
+// the version by one. A write with an unknown outcome matches any resulting version,
+// because the caller did not learn it.
 func registerModel() porcupine.Model {
 	return porcupine.Model{
 		Equal: func(a, b any) bool { return a == b },
@@ -70,11 +77,11 @@
 				register := o.Input.(operation).register
 				byRegister[register] = append(byRegister[register], o)
 			}
-			var parts [][]porcupine.Operation
-			for _, part := range byRegister {
-				parts = append(parts, part)
+			var partitions [][]porcupine.Operation
+			for _, operations := range byRegister {
+				partitions = append(partitions, operations)
 			}
-			return parts
+			return partitions
 		},
 		Step: func(state, input, output any) (bool, any) {
 			before, in, out := state.(registerState), input.(operation), output.(registerState)
@@ -87,10 +94,10 @@
 	}
 }
 
-// check returns the first violation that it finds.
+// check returns the first violation of the consistency guarantees that it finds.
 func (h *history) check() error {
 	for _, verify := range []func() error{
-		h.checkEffects, h.checkSums, h.checkFresh, h.checkSessions, h.checkLinearizable,
+		h.checkWrites, h.checkTransfers, h.checkFirstReads, h.checkReadYourWrites, h.checkLinearizable,
 	} {
 		if err := verify(); err != nil {
 			return err
@@ -99,131 +106,137 @@
 	return nil
 }
 
-// effects returns the version that each operation made, by its name.
-func (h *history) effects() map[string]int {
-	effects := make(map[string]int)
+// versionsByOp returns the version of each write in the journal, by op.
+func (h *history) versionsByOp() map[string]int {
+	versionsByOp := make(map[string]int)
 	for _, e := range h.journal {
-		effects[e.op] = e.version
+		versionsByOp[e.op] = e.version
 	}
-	return effects
+	return versionsByOp
 }
 
-// checkEffects finds doubled, lost and falsely reported writes.
-func (h *history) checkEffects() error {
-	seen, versions := make(map[string]bool), make(map[registerVersion]string)
+// checkWrites finds duplicate, conflicting and lost writes, and writes that were
+// reported as not run but took effect.
+func (h *history) checkWrites() error {
+	seen, opsByVersion := make(map[string]bool), make(map[registerVersion]string)
 	for _, e := range h.journal {
 		if seen[e.op] {
-			return fmt.Errorf("doubled write: %s", e.op)
+			return fmt.Errorf("duplicate write: the journal has several rows of %s", e.op)
 		}
-		at := registerVersion{e.register, e.version}
-		if other, found := versions[at]; found {
-			return fmt.Errorf("mixed writes: %s and %s made version %d of register %d", other, e.op, e.version, e.register)
+		key := registerVersion{e.register, e.version}
+		if other, found := opsByVersion[key]; found {
+			return fmt.Errorf("conflicting writes: %s and %s both wrote version %d of register %d", other, e.op, e.version, e.register)
 		}
-		seen[e.op], versions[at] = true, e.op
+		seen[e.op], opsByVersion[key] = true, e.op
 	}
 	for _, o := range h.operations {
 		switch {
 		case o.kind != kindWrite:
 		case o.outcome == outcomeCommitted && !seen[o.op]:
-			return fmt.Errorf("lost write: %s was acknowledged", o.op)
+			return fmt.Errorf("lost write: %s was acknowledged but is not in the journal", o.op)
 		case o.outcome != outcomeCommitted && o.outcome != outcomeUnknown && seen[o.op]:
-			return fmt.Errorf("false outcome: %s was reported as %s and is there", o.op, o.outcome)
+			return fmt.Errorf("wrong outcome: %s was reported as %s but is in the journal", o.op, o.outcome)
 		}
 	}
 	return nil
 }
 
-// registerVersion names one version of a register.
+// registerVersion identifies one version of a register.
 type registerVersion struct{ register, version int }
 
-// checkSums finds mixed transactions.
-func (h *history) checkSums() error {
+// checkTransfers finds transfers of which a read saw only one of the two updates.
+func (h *history) checkTransfers() error {
 	for _, sum := range h.sums {
-		if sum != total {
-			return fmt.Errorf("mixed transaction: the stock rows had the sum %d, want %d", sum, total)
+		if sum != stockTotal {
+			return fmt.Errorf("non-atomic transaction: the sum of the stock rows was %d, want %d", sum, stockTotal)
 		}
 	}
 	return nil
 }
 
-// checkFresh finds first reads that miss a write acknowledged before the
-// session arrived.
-func (h *history) checkFresh() error {
+// checkFirstReads finds first reads that miss a write which was acknowledged before
+// the session connected.
+func (h *history) checkFirstReads() error {
 	for _, read := range h.operations {
-		if read.kind != kindRead || !read.fresh {
+		if read.kind != kindRead || !read.firstRead {
 			continue
 		}
 		for _, write := range h.operations {
 			acknowledged := write.kind == kindWrite && write.outcome == outcomeCommitted && write.register == read.register
-			if acknowledged && write.returned < read.call && write.version > read.version {
-				return fmt.Errorf("stale read: %s saw version %d of register %d after %s made %d", read.op, read.version, read.register, write.op, write.version)
+			if acknowledged && write.returnedAt < read.calledAt && write.version > read.version {
+				return fmt.Errorf("stale read: %s returned version %d of register %d although %s had already written version %d", read.op, read.version, read.register, write.op, write.version)
 			}
 		}
 	}
 	return nil
 }
 
-// sessionRegister names what one session knows of one register.
+// sessionRegister identifies one register as used by one session.
 type sessionRegister struct{ session, register int }
 
-// checkSessions finds reads that miss an own acknowledged write.
-func (h *history) checkSessions() error {
-	known := make(map[sessionRegister]int)
+// checkReadYourWrites finds reads that miss an acknowledged write of the same
+// session.
+func (h *history) checkReadYourWrites() error {
+	lastVersion := make(map[sessionRegister]int)
 	for _, o := range h.operations {
-		at := sessionRegister{o.session, o.register}
+		key := sessionRegister{o.session, o.register}
 		switch {
 		case o.kind == kindWrite && o.outcome == outcomeCommitted:
-			known[at] = max(known[at], o.version)
-		case o.kind == kindRead && o.version < known[at]:
-			return fmt.Errorf("own write missed: session %d saw version %d of register %d after %d", o.session, o.version, o.register, known[at])
+			lastVersion[key] = max(lastVersion[key], o.version)
+		case o.kind == kindRead && o.version < lastVersion[key]:
+			return fmt.Errorf("read-your-writes violation: session %d read version %d of register %d after it had written version %d", o.session, o.version, o.register, lastVersion[key])
 		}
 	}
 	return nil
 }
 
-// dirty reports whether a read saw a write that is not in the journal: one
-// that the old primary held and a failover dropped. The design allows that.
-func dirty(read operation, effects map[string]int) bool {
-	version, found := effects[read.writer]
+// isDirtyRead reports whether a read returned a write that is not in the journal,
+// because only the old primary had it when a failover replaced that primary. The
+// design allows such reads.
+func isDirtyRead(read operation, versionsByOp map[string]int) bool {
+	version, found := versionsByOp[read.writer]
 	return read.version > 0 && (!found || version != read.version)
 }
 
-// checkLinearizable checks writes and first reads of fresh sessions.
+// checkLinearizable checks that the writes and the first reads are linearizable.
+// Later reads need only be consistent within their session. Writes that are not in
+// the journal are left out; unknown writes in it may have taken effect at any time
+// after the call.
 func (h *history) checkLinearizable() error {
-	effects := h.effects()
+	versionsByOp := h.versionsByOp()
 	var operations []porcupine.Operation
 	for _, o := range h.operations {
-		returned := int64(o.returned)
+		returnedAt := int64(o.returnedAt)
 		switch {
-		case o.kind == kindRead && (!o.fresh || dirty(o, effects)):
+		case o.kind == kindRead && (!o.firstRead || isDirtyRead(o, versionsByOp)):
 			continue
 		case o.kind == kindWrite && o.outcome == outcomeUnknown:
-			if _, found := effects[o.op]; !found {
+			if _, found := versionsByOp[o.op]; !found {
 				continue
 			}
-			returned = math.MaxInt64
+			returnedAt = math.MaxInt64
 		case o.kind == kindWrite && o.outcome != outcomeCommitted:
 			continue
 		}
 		operations = append(operations, porcupine.Operation{
-			Call:     int64(o.call),
+			Call:     int64(o.calledAt),
 			ClientId: o.session,
 			Input:    o,
 			Output:   registerState{version: o.version, writer: o.writer},
-			Return:   returned,
+			Return:   returnedAt,
 		})
 	}
 	if result := porcupine.CheckOperationsTimeout(registerModel(), operations, testTimeout); result != porcupine.Ok {
-		return fmt.Errorf("not linearizable: %s", result)
+		return fmt.Errorf("not linearizable: porcupine reports %s", result)
 	}
 	return nil
 }
 
-// dirtyReads counts the reads that saw a write which a failover dropped.
-func (h *history) dirtyReads() int {
-	effects, count := h.effects(), 0
+// countDirtyReads counts the reads that returned a write which a failover dropped.
+func (h *history) countDirtyReads() int {
+	versionsByOp, count := h.versionsByOp(), 0
 	for _, o := range h.operations {
-		if o.kind == kindRead && dirty(o, effects) {
+		if o.kind == kindRead && isDirtyRead(o, versionsByOp) {
 			count++
 		}
 	}
--- a/faultmatrix/norace_test.go
+++ b/faultmatrix/norace_test.go
@@ -2,5 +2,5 @@
 
 package faultmatrix_test
 
-// raceSlowdown divides the length of recorded histories.
+// raceSlowdown divides the number of operations of recorded histories.
 const raceSlowdown = 1
--- a/faultmatrix/race_test.go
+++ b/faultmatrix/race_test.go
@@ -2,6 +2,6 @@
 
 package faultmatrix_test
 
-// raceSlowdown divides the length of recorded histories. The stand-in's engine
-// runs about ten times slower with the race detector.
+// raceSlowdown divides the number of operations of recorded histories, because the
+// SQL engine of the stand-in runs about ten times slower with the race detector.
 const raceSlowdown = 3
--- a/faultmatrix/steps_test.go
+++ b/faultmatrix/steps_test.go
@@ -16,24 +16,26 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-// injection brings a fault about in a deployment. The first instance is the
-// one that the fault concerns.
+// injection injects a fault into a deployment. Faults of an instance affect the first
+// instance of the fixture.
 type injection struct {
-	fault  faultmatrix.Fault
+	fault faultmatrix.Fault
+	// heal ends the fault. It is nil if there is nothing to end.
 	heal   func(f *fixture)
 	inject func(f *fixture)
-	// serves is set if the fault must not disturb any request.
-	serves bool
+	// harmless is true if no request may fail because of the fault.
+	harmless bool
 }
 
-// detect returns the detection time for a test of the fault.
-func (i injection) detect() time.Duration {
+// detectTime returns the failure detection time for a test of the fault.
+func (i injection) detectTime() time.Duration {
 	if i.fault == faultmatrix.FaultPrimaryCrash || i.fault == faultmatrix.FaultPrimaryCutOff {
-		return detectFailover
+		return detectTimeFailover
 	}
-	return detectNever
+	return detectTimeNoFailover
 }
 
+// injections returns the injections of all faults.
 func injections() []injection {
 	primary := func(f *fixture) *standin.Server { return f.group.Server(testDatabase + "-1") }
 	healStore := func(f *fixture) {
@@ -43,21 +45,21 @@
 	return []injection{
 		{
 			fault:  faultmatrix.FaultInstanceDies,
-			inject: func(f *fixture) { f.kill(f.members[0]) },
+			inject: func(f *fixture) { f.kill(f.instances[0]) },
 		},
 		{
 			fault:  faultmatrix.FaultKeyWithdrawn,
-			inject: func(f *fixture) { f.replaceKey() },
+			inject: func(f *fixture) { f.publishNewKey() },
 		},
 		{
 			fault:  faultmatrix.FaultLeaseLapses,
-			heal:   func(f *fixture) { f.cutOffInstance(f.members[0], false) },
-			inject: func(f *fixture) { f.cutOffInstance(f.members[0], true); f.awaitInvalid(f.members[0]) },
+			heal:   func(f *fixture) { f.setInstanceIsolated(f.instances[0], false) },
+			inject: func(f *fixture) { f.setInstanceIsolated(f.instances[0], true); f.awaitLeaseExpiry(f.instances[0]) },
 		},
 		{
-			fault:  faultmatrix.FaultOperatorsRace,
-			inject: func(f *fixture) { f.race(1) },
-			serves: true,
+			fault:    faultmatrix.FaultOperatorsRace,
+			inject:   func(f *fixture) { f.publishConcurrently(1) },
+			harmless: true,
 		},
 		{
 			fault:  faultmatrix.FaultPrimaryCrash,
@@ -70,83 +72,86 @@
 			inject: func(f *fixture) { f.group.PartitionServer(primary(f).ID(), true) },
 		},
 		{
-			fault:  faultmatrix.FaultReplicaLags,
-			heal:   func(f *fixture) { f.setApplyLag(0) },
-			inject: func(f *fixture) { f.setApplyLag(time.Hour) },
-			serves: true,
+			fault:    faultmatrix.FaultReplicaLags,
+			heal:     func(f *fixture) { f.setApplyLag(0) },
+			inject:   func(f *fixture) { f.setApplyLag(time.Hour) },
+			harmless: true,
 		},
 		{
 			fault: faultmatrix.FaultStoreAnswerLost,
 			inject: func(f *fixture) {
 				f.platform.DropResponses(1)
-				f.publish(0, 1, f.content(f.sheet()), sheet.OutcomeAccepted)
+				f.publish(0, 1, f.encodeSheet(f.sheet()), sheet.OutcomeAccepted)
 			},
-			serves: true,
+			harmless: true,
 		},
 		{
-			fault:  faultmatrix.FaultStoreDown,
-			heal:   healStore,
-			inject: func(f *fixture) { f.platform.SetOutage(standin.OutageFail) },
-			serves: true,
+			fault:    faultmatrix.FaultStoreDown,
+			heal:     healStore,
+			inject:   func(f *fixture) { f.platform.SetOutage(standin.OutageFail) },
+			harmless: true,
 		},
 		{
-			fault:  faultmatrix.FaultStoreSlow,
-			heal:   healStore,
-			inject: func(f *fixture) { f.platform.SetDelay(900 * time.Millisecond) },
-			serves: true,
+			fault:    faultmatrix.FaultStoreSlow,
+			heal:     healStore,
+			inject:   func(f *fixture) { f.platform.SetDelay(900 * time.Millisecond) },
+			harmless: true,
 		},
 	}
 }
 
-// replaceKey publishes a sheet with another key and uses that from now on.
-func (f *fixture) replaceKey() {
+// publishNewKey publishes a sheet in which another key replaces the current one. The
+// fixture uses the new key from then on.
+func (f *fixture) publishNewKey() {
 	f.t.Helper()
 	key, err := sheet.GenerateKey(strings.NewReader(strings.Repeat("other", 32)), f.key.Salt, f.key.Iterations)
 	must(f.t, err)
 	f.key = key
-	f.publish(1, 1, f.content(f.sheet()), sheet.OutcomeAccepted)
-	for _, m := range f.members {
-		f.await("sheet in force", func() bool { return m.instance.Board().Sheet.Load().Version == 2 })
+	f.publish(1, 1, f.encodeSheet(f.sheet()), sheet.OutcomeAccepted)
+	for _, inst := range f.instances {
+		f.await("the new sheet on each instance", func() bool { return inst.instance.Board().Sheet.Load().Version == 2 })
 	}
 }
 
-// cutOffInstance cuts an instance off from the store and all peers.
-func (f *fixture) cutOffInstance(m *member, cut bool) {
-	f.network.setCut(m.id, strings.TrimPrefix(f.platformURL, "http://"), cut)
-	for _, other := range f.members {
-		if other != m {
-			f.network.setCut(m.id, other.peers, cut)
-			f.network.setCut(other.id, m.peers, cut)
+// setInstanceIsolated cuts an instance off from the store and all peers, or reconnects
+// it. The instance can still reach the backend servers.
+func (f *fixture) setInstanceIsolated(inst *testInstance, isolated bool) {
+	f.network.setCut(inst.id, strings.TrimPrefix(f.platformURL, "http://"), isolated)
+	for _, other := range f.instances {
+		if other != inst {
+			f.network.setCut(inst.id, other.peerAddress, isolated)
+			f.network.setCut(other.id, inst.peerAddress, isolated)
 		}
 	}
 }
 
-func (f *fixture) awaitInvalid(m *member) {
+func (f *fixture) awaitLeaseExpiry(inst *testInstance) {
 	f.t.Helper()
-	f.await("end of the validity lease", func() bool { return !m.instance.Status().Valid })
+	f.await("expiry of the validity lease", func() bool { return !inst.instance.Status().Valid })
 }
 
-// race lets two operators publish against the same version.
-func (f *fixture) race(base fleet.SheetVersion) {
+// publishConcurrently publishes two sheets with the same base version at the same time
+// and expects that exactly one is accepted.
+func (f *fixture) publishConcurrently(base fleet.SheetVersion) {
 	f.t.Helper()
 	outcomes := make([]sheet.Outcome, 2)
-	var racing sync.WaitGroup
-	for number := range outcomes {
-		racing.Go(func() {
-			request := sheet.PublishRequest{Base: base, Content: f.content(f.sheet()), Force: true}
-			publication, err := f.client(number).Publish(f.ctx, request)
-			outcomes[number] = publication.Outcome
+	var wg sync.WaitGroup
+	for i := range outcomes {
+		wg.Go(func() {
+			request := sheet.PublishRequest{Base: base, Content: f.encodeSheet(f.sheet()), Force: true}
+			publication, err := f.adminClient(i).Publish(f.ctx, request)
+			outcomes[i] = publication.Outcome
 			if err != nil {
-				outcomes[number] = sheet.Outcome(err.Error())
+				outcomes[i] = sheet.Outcome(err.Error())
 			}
 		})
 	}
-	racing.Wait()
+	wg.Wait()
 	if outcomes[0] > outcomes[1] {
 		outcomes[0], outcomes[1] = outcomes[1], outcomes[0]
 	}
 	if diff := cmp.Diff([]sheet.Outcome{sheet.OutcomeAccepted, sheet.OutcomeConflict}, outcomes); diff != "" {
-		f.t.Errorf("outcomes of racing publications (-want +got):\n%s", diff)
+		f.t.Errorf("outcomes of concurrent publications (-want +got):\n%s", diff)
 	}
 }
 
@@ -156,35 +161,38 @@
 	}
 }
 
-// attempt is one write that is under way at a step.
-type attempt struct {
+// pendingWrite is a write that runs in the background. step is the step at which the
+// fault is injected.
+type pendingWrite struct {
+	// done receives the error of the write.
 	done chan error
 	op   string
-	// rows is the number of rows of the write.
+	// rows is the number of journal rows that the write inserts.
 	rows int
 	step faultmatrix.Step
 }
 
-// begin starts a write in the background.
-func begin(step faultmatrix.Step, op string, rows int, run func() error) attempt {
-	a := attempt{done: make(chan error, 1), op: op, rows: rows, step: step}
-	go func() { a.done <- run() }()
-	return a
+// startWrite runs a write in the background.
+func startWrite(step faultmatrix.Step, op string, rows int, run func() error) pendingWrite {
+	write := pendingWrite{done: make(chan error, 1), op: op, rows: rows, step: step}
+	go func() { write.done <- run() }()
+	return write
 }
 
-// settle compares the outcome that the caller learned with the effect.
-func (f *fixture) settle(a attempt, through *member, serves bool) {
+// checkOutcome waits for a write and compares the outcome that was reported to the
+// caller with its rows in the journal.
+func (f *fixture) checkOutcome(write pendingWrite, inst *testInstance, harmless bool) {
 	f.t.Helper()
-	err := <-a.done
-	learned, effects := outcome(err), f.journalCount(through, a.op)
-	f.t.Logf("%s: %s (%v), %d rows", a.step, learned, err, effects)
-	truthful := effects == 0 && learned != outcomeCommitted
-	truthful = truthful || effects == a.rows && (learned == outcomeCommitted || learned == outcomeUnknown)
-	if !truthful {
-		f.t.Errorf("%s: the outcome is %s (%v), but %d rows are there of %d", a.step, learned, err, effects, a.rows)
+	err := <-write.done
+	reported, journalRows := outcome(err), f.journalCount(inst, write.op)
+	f.t.Logf("%s: reported as %s (%v), %d rows in the journal", write.step, reported, err, journalRows)
+	correct := journalRows == 0 && reported != outcomeCommitted
+	correct = correct || journalRows == write.rows && (reported == outcomeCommitted || reported == outcomeUnknown)
+	if !correct {
+		f.t.Errorf("%s: the write was reported as %s (%v), but the journal has %d of its %d rows", write.step, reported, err, journalRows, write.rows)
 	}
-	if serves && learned != outcomeCommitted {
-		f.t.Errorf("%s: the outcome is %s (%v), want %s", a.step, learned, err, outcomeCommitted)
+	if harmless && reported != outcomeCommitted {
+		f.t.Errorf("%s: the write was reported as %s (%v), want %s", write.step, reported, err, outcomeCommitted)
 	}
 }
 
@@ -195,10 +203,10 @@
 	}
 }
 
-// poolOf returns the connections in use and the waiting requests of an
-// instance for the first server.
-func (f *fixture) poolOf(m *member) [2]int {
-	for _, pool := range m.instance.Status().Pools {
+// firstServerUse returns the number of connections in use and the number of waiting
+// requests of an instance for the first server.
+func (f *fixture) firstServerUse(inst *testInstance) [2]int {
+	for _, pool := range inst.instance.Status().Pools {
 		if pool.Server == f.group.Servers()[0].ID() {
 			return [2]int{pool.Busy, pool.Waiting}
 		}
@@ -206,132 +214,135 @@
 	return [2]int{}
 }
 
-// TestFaultAtEachStep guards against outcomes that are not true, doubled
-// writes, half transactions and lost acknowledged writes, for each fault while
-// requests stand at each step.
+// TestFaultAtEachStep guards against wrong reported outcomes, duplicate writes, partial
+// transactions and lost acknowledged writes, for each fault while there is a request at
+// each step.
 func TestFaultAtEachStep(t *testing.T) {
 	t.Parallel()
 	for _, injected := range injections() {
 		t.Run(string(injected.fault), func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, 3, unlimited(), injected.detect())
-			attempts := f.park(injected)
+			f := newFixture(t, 3, unlimited(), injected.detectTime())
+			writes := f.injectDuringRequests(injected)
 			if injected.heal != nil {
 				injected.heal(f)
 			}
 			f.await("a write after the fault", func() bool {
-				conn, err := f.connect(f.members[1], "")
+				conn, err := f.connect(f.instances[1], "")
 				if err != nil {
 					return false
 				}
 				defer conn.Close(context.Background())
 				return f.insert(conn, "last")() == nil
 			})
-			for _, a := range attempts {
-				f.settle(a, f.members[1], injected.serves)
+			for _, write := range writes {
+				f.checkOutcome(write, f.instances[1], injected.harmless)
 			}
 		})
 	}
 }
 
-// park brings requests of the first instance to their steps, injects the
-// fault, and lets the requests go on. The stand-in runs one write transaction
-// at a time and the instance uses three slots: the open transaction holds one,
-// two statements wait in the server, and one in the queue.
-func (f *fixture) park(injected injection) []attempt {
+// injectDuringRequests brings writes through the first instance to the steps of a
+// request, injects the fault, and then lets the writes continue. The stand-in runs one
+// write transaction at a time and the instance uses three slots: one for the open
+// transaction, and two for statements that wait in the server. The fourth write waits
+// in the queue of the instance.
+func (f *fixture) injectDuringRequests(injected injection) []pendingWrite {
 	f.t.Helper()
-	m := f.members[0]
-	attempts := []attempt{begin(faultmatrix.StepAfterAnswer, "after-answer", 1, f.insert(f.mustConnect(m), "after-answer"))}
-	must(f.t, <-attempts[0].done)
-	attempts[0].done <- nil
-	idle, next := f.mustConnect(m), make(chan struct{})
-	tx, err := f.mustConnect(m).Begin(f.ctx)
+	inst := f.instances[0]
+	writes := []pendingWrite{startWrite(faultmatrix.StepAfterAnswer, "after-answer", 1, f.insert(f.mustConnect(inst), "after-answer"))}
+	must(f.t, <-writes[0].done)
+	// The result is put back for checkOutcome.
+	writes[0].done <- nil
+	idleConn, transactionDone := f.mustConnect(inst), make(chan struct{})
+	tx, err := f.mustConnect(inst).Begin(f.ctx)
 	must(f.t, err)
 	_, err = tx.Exec(f.ctx, insertOp, "in-transaction")
 	must(f.t, err)
 	for _, op := range []string{"after-send-1", "after-send-2"} {
-		attempts = append(attempts, begin(faultmatrix.StepAfterSend, op, 1, f.insert(f.mustConnect(m), op)))
+		writes = append(writes, startWrite(faultmatrix.StepAfterSend, op, 1, f.insert(f.mustConnect(inst), op)))
 	}
-	f.await("full slots", func() bool { return f.poolOf(m) == [2]int{3, 0} })
-	attempts = append(attempts, begin(faultmatrix.StepQueueing, "queueing", 1, f.insert(f.mustConnect(m), "queueing")))
-	f.await("a queue", func() bool { return f.poolOf(m) == [2]int{3, 1} })
+	f.await("all slots to be in use", func() bool { return f.firstServerUse(inst) == [2]int{3, 0} })
+	writes = append(writes, startWrite(faultmatrix.StepQueueing, "queueing", 1, f.insert(f.mustConnect(inst), "queueing")))
+	f.await("a request in the queue", func() bool { return f.firstServerUse(inst) == [2]int{3, 1} })
 	injected.inject(f)
-	attempts = append(attempts,
-		begin(faultmatrix.StepInTransaction, "in-transaction", 2, func() error {
-			defer close(next)
+	writes = append(writes,
+		startWrite(faultmatrix.StepInTransaction, "in-transaction", 2, func() error {
+			defer close(transactionDone)
 			if _, err := tx.Exec(f.ctx, insertOp, "in-transaction"); err != nil {
 				_ = tx.Rollback(context.Background())
 				return err
 			}
 			return tx.Commit(f.ctx)
 		}),
-		begin(faultmatrix.StepBeforeSend, "before-send", 1, f.insert(idle, "before-send")),
-		begin(faultmatrix.StepAuthentication, "authentication", 1, func() error {
-			conn, err := f.connect(m, "")
+		startWrite(faultmatrix.StepBeforeSend, "before-send", 1, f.insert(idleConn, "before-send")),
+		startWrite(faultmatrix.StepAuthentication, "authentication", 1, func() error {
+			conn, err := f.connect(inst, "")
 			if err != nil {
-				return &notRun{err}
+				return &connectError{err}
 			}
 			defer conn.Close(context.Background())
 			return f.insert(conn, "authentication")()
 		}))
-	<-next
-	return attempts
+	<-transactionDone
+	return writes
 }
 
-// notRun is a failure before any request was sent.
-type notRun struct{ error }
+// connectError is a failure to connect, before any request was sent.
+type connectError struct{ error }
 
-// Unwrap returns the cause.
-func (n *notRun) Unwrap() error { return n.error }
+// Unwrap returns the error of the connection attempt.
+func (e *connectError) Unwrap() error { return e.error }
 
-// TestFaultBeforeAnswer guards against the same as TestFaultAtEachStep while a
-// commit and a single write took effect on the primary but wait for the
-// evidence, because the replicas do not receive them.
+// TestFaultBeforeAnswer guards against the same violations as TestFaultAtEachStep, while
+// a commit and a single write have taken effect on the primary but are not acknowledged
+// yet, because the replicas do not receive them.
 func TestFaultBeforeAnswer(t *testing.T) {
 	t.Parallel()
 	for _, injected := range injections() {
 		t.Run(string(injected.fault), func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, 3, unlimited(), injected.detect())
-			m, primary := f.members[0], f.group.Servers()[0]
-			tx, err := f.mustConnect(m).Begin(f.ctx)
+			f := newFixture(t, 3, unlimited(), injected.detectTime())
+			inst, primary := f.instances[0], f.group.Servers()[0]
+			tx, err := f.mustConnect(inst).Begin(f.ctx)
 			must(t, err)
 			for range 2 {
 				_, err = tx.Exec(f.ctx, insertOp, "commit")
 				must(t, err)
 			}
-			single := f.mustConnect(m)
-			before := primary.Status().Log.Log
+			singleConn := f.mustConnect(inst)
+			logBefore := primary.Status().Log.Log
 			f.group.PartitionServer(primary.ID(), true)
-			attempts := []attempt{begin(faultmatrix.StepCommit, "commit", 2, func() error { return tx.Commit(f.ctx) })}
-			f.await("effect of the commit", func() bool { return primary.Status().Log.Log > before })
-			attempts = append(attempts, begin(faultmatrix.StepBeforeAnswer, "before-answer", 1, f.insert(single, "before-answer")))
-			f.await("effect of the write", func() bool { return primary.Status().Log.Log > before+1 || f.group.Primary() != primary })
+			writes := []pendingWrite{startWrite(faultmatrix.StepCommit, "commit", 2, func() error { return tx.Commit(f.ctx) })}
+			f.await("the commit on the primary", func() bool { return primary.Status().Log.Log > logBefore })
+			writes = append(writes, startWrite(faultmatrix.StepBeforeAnswer, "before-answer", 1, f.insert(singleConn, "before-answer")))
+			f.await("the write on the primary, or a promotion", func() bool { return primary.Status().Log.Log > logBefore+1 || f.group.Primary() != primary })
 			injected.inject(f)
 			if injected.heal != nil {
 				injected.heal(f)
 			}
 			f.group.PartitionServer(primary.ID(), false)
 			f.await("a write after the fault", func() bool {
-				conn, err := f.connect(f.members[1], "")
+				conn, err := f.connect(f.instances[1], "")
 				if err != nil {
 					return false
 				}
 				defer conn.Close(context.Background())
 				return f.insert(conn, "last")() == nil
 			})
-			for _, a := range attempts {
-				f.settle(a, f.members[1], false)
+			for _, write := range writes {
+				f.checkOutcome(write, f.instances[1], false)
 			}
 		})
 	}
 }
 
-// awaitWrite repeats a write while it is refused as not run.
-func (f *fixture) awaitWrite(m *member, op string) {
+// awaitWrite retries a write until it succeeds. It fails the test if the write fails and
+// was not reported as not run.
+func (f *fixture) awaitWrite(inst *testInstance, op string) {
 	f.t.Helper()
 	f.await("write of "+op, func() bool {
-		conn, err := f.connect(m, "")
+		conn, err := f.connect(inst, "")
 		if err != nil {
 			return false
 		}
@@ -343,40 +354,40 @@
 	})
 }
 
-// TestServiceDuringFault guards against a fault that keeps an instance from
-// starting, a failed primary from being replaced, or a planned stop from
-// ending without cutting a transaction.
+// TestServiceDuringFault guards against a fault that prevents an instance from starting
+// or a failed primary from being replaced, or that makes a planned stop abort a
+// transaction.
 func TestServiceDuringFault(t *testing.T) {
 	t.Parallel()
 	for _, injected := range injections() {
 		t.Run(string(injected.fault), func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, 3, unlimited(), detectFailover)
+			f := newFixture(t, 3, unlimited(), detectTimeFailover)
 			injected.inject(f)
-			started := f.start()
-			f.awaitWrite(started, "start-up")
+			newInstance := f.start()
+			f.awaitWrite(newInstance, "start-up")
 			if injected.fault == faultmatrix.FaultPrimaryCrash || injected.fault == faultmatrix.FaultPrimaryCutOff {
-				// A group of three needs a second server for the next promotion.
+				// The next promotion needs a majority, so two of the three servers.
 				injected.heal(f)
 				must(t, f.group.WaitApplied(f.ctx))
 			}
-			old := f.group.Primary()
-			old.Crash()
-			f.await("promotion", func() bool { return f.group.Primary() != nil && f.group.Primary() != old })
-			f.awaitWrite(started, "promotion")
-			f.awaitWrite(f.members[1], "before-stop")
-			tx, err := f.mustConnect(f.members[1]).Begin(f.ctx)
+			oldPrimary := f.group.Primary()
+			oldPrimary.Crash()
+			f.await("promotion", func() bool { return f.group.Primary() != nil && f.group.Primary() != oldPrimary })
+			f.awaitWrite(newInstance, "promotion")
+			f.awaitWrite(f.instances[1], "before-stop")
+			tx, err := f.mustConnect(f.instances[1]).Begin(f.ctx)
 			must(t, err)
 			_, err = tx.Exec(f.ctx, insertOp, "stop")
 			must(t, err)
 			stopped := make(chan error, 1)
-			go func() { stopped <- f.stop(f.members[1]) }()
-			f.await("end of readiness", func() bool { return !isReady(f, f.members[1]) })
+			go func() { stopped <- f.stop(f.instances[1]) }()
+			f.await("the instance to report that it is not ready", func() bool { return !isReady(f, f.instances[1]) })
 			must(t, tx.Commit(f.ctx))
 			must(t, <-stopped)
 			for _, op := range []string{"start-up", "promotion", "stop"} {
-				if diff := cmp.Diff(1, f.journalCount(started, op)); diff != "" {
-					t.Errorf("rows of %s (-want +got):\n%s", op, diff)
+				if diff := cmp.Diff(1, f.journalCount(newInstance, op)); diff != "" {
+					t.Errorf("journal rows of %s (-want +got):\n%s", op, diff)
 				}
 			}
 		})
