--- a/datagram/datagram_test.go
+++ b/datagram/datagram_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestWrongSecret guards against answering a request from a caller that does
-// not know the secret, and against a caller that accepts an answer from another
-// process that has taken over the address.
+// TestWrongSecret guards against answering a request that carries the secret of
+// another endpoint: its sender doesn't know the secret of this one, or means an
+// earlier process at the same address.
 func TestWrongSecret(t *testing.T) {
 	client, server := newEndpoint(t), newEndpoint(t)
 	serve(t, client, noAnswer)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -10,8 +10,9 @@
 // run.
 type Epoch uint64
 
-// GroupID is the name of a database group. Each database is served by one
-// group, so it is also the database name to which a caller connects.
+// GroupID is the name of a group of backend servers. It is also the type of the
+// database names to which callers connect. The route of a database names the
+// group that serves it, which by default has the name of the database.
 type GroupID string
 
 // InstanceID is the name of an instance of nutmegpier.
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// tokenBatchDuration is the time for whose expected demand an instance takes
-	// tokens from a pool in one call. Unused tokens on the instances add to the
-	// burst of a workspace, so they must stay well below the 10 % by which a limit
-	// may be exceeded in 5 s.
+	// tokenBatchDuration determines how many tokens an instance takes from a pool in
+	// one call: those for its expected demand in this time. Unused tokens on the
+	// instances add to the burst of a workspace, so they must stay well below the
+	// 10 % by which a limit may be exceeded in 5 s.
 	tokenBatchDuration = 250 * time.Millisecond
-	// peerCallTimeout is the timeout of one call, for which a request waits. A
+	// peerCallTimeout is the timeout of one call, which delays a caller's request. A
 	// response takes two to four milliseconds, and a lost datagram is sent again.
 	peerCallTimeout = 70 * time.Millisecond
 	// emptyPoolBackoff is the maximum time for which a pool that was empty is not
--- a/gateway/router.go
+++ b/gateway/router.go
@@ -98,7 +98,7 @@
 
 // chooseReplica returns the server with the lowest cost for a read that may miss
 // recent commits, and the log position that it must have applied. The result
-// primary is true if the read must go to the primary, and found is false if that
+// primary is true if the read goes to the primary, and found is false if that
 // can't take it either.
 func (g *Gateway) chooseReplica(requirements session.Requirements) (server fleet.ServerID, minPosition fleet.Position, primary, found bool) {
 	now := g.config.Clock()
--- a/pool/share.go
+++ b/pool/share.go
@@ -20,8 +20,8 @@
 
 // ConnectionLimits returns how many connections to one server this instance may
 // open, and how many of them it may keep idle. Budget is the number of connections
-// for all live instances together, or zero if none is configured. DemandFraction
-// is this instance's fraction of the total demand.
+// for all live instances together, or zero if none is configured. The argument
+// demandFraction is this instance's fraction of the total demand.
 //
 // If its fraction of the budget is less than minConnections, it may still open
 // that many. Idle connections would then take the places of other instances, so
--- a/primacy/promotion.go
+++ b/primacy/promotion.go
@@ -39,7 +39,7 @@
 
 // Server is the leader's view of one server of a group.
 type Server struct {
-	// Eligible is false if the server is leaving, or if its data centre is out
+	// Eligible is false if the server is draining, or if its data centre is out
 	// of service.
 	Eligible bool
 	ID       fleet.ServerID
@@ -48,7 +48,7 @@
 	// RegisteredAsPrimary says that the server's registration names it as
 	// primary. The registration doesn't contain the term.
 	RegisteredAsPrimary bool
-	// Registered is false if the server is no longer listed.
+	// Registered is false if the server no longer has a registration entry.
 	Registered bool
 	Role       Role
 	// StatusAt is when the status was requested that Position, Role and Term
--- a/primacy/promotion_test.go
+++ b/primacy/promotion_test.go
@@ -30,11 +30,11 @@
 }
 
 // TestPromotionCandidate guards against a promotion target that lacks commits
-// of another server that has answered, that is leaving, or whose position was
+// of another server that has answered, that is draining, or whose position was
 // reported before the change.
 func TestPromotionCandidate(t *testing.T) {
-	leaving := replica("c", 9, 0)
-	leaving.Eligible = false
+	draining := replica("c", 9, 0)
+	draining.Eligible = false
 	for _, test := range []struct {
 		name    string
 		reason  primacy.Reason
@@ -44,7 +44,7 @@
 	}{
 		{name: "longest log", reason: primacy.ReasonFailure, servers: []primacy.Server{replica("a", 5, 0), replica("b", 7, 0)}, want: "b"},
 		{name: "position from before the change", reason: primacy.ReasonFailure, servers: []primacy.Server{replica("a", 5, 0), replica("b", 7, 2*time.Second)}, want: "a"},
-		{name: "leaving server", reason: primacy.ReasonFailure, servers: []primacy.Server{replica("a", 5, 0), leaving}, want: "a"},
+		{name: "draining server", reason: primacy.ReasonFailure, servers: []primacy.Server{replica("a", 5, 0), draining}, want: "a"},
 		{name: "none answers", reason: primacy.ReasonFailure, servers: []primacy.Server{replica("a", 5, 2*time.Second)}},
 		{name: "not enough for a synchronous commit", reason: primacy.ReasonFailure, sync: 1, servers: []primacy.Server{replica("a", 5, 0), replica("b", 7, 2*time.Second)}},
 		{name: "enough for a synchronous commit", reason: primacy.ReasonFailure, sync: 1, servers: []primacy.Server{replica("a", 5, 0), replica("b", 7, 0)}, want: "b"},
--- a/primacy/record.go
+++ b/primacy/record.go
@@ -15,7 +15,7 @@
 // the record was last verified to be current. It bounds the wait for an
 // instance that does not confirm a change; a shorter lease stops writes sooner
 // when the store is down. It stays below the 5 s in which a withdrawn key must
-// stop working, because both depend on the same verification.
+// stop working, because both depend on recent answers of the store.
 const LeaseTime = 4500 * time.Millisecond
 
 // LeaseMargin is added to LeaseTime when waiting for the leases of other
--- a/session/fakes_test.go
+++ b/session/fakes_test.go
@@ -117,6 +117,7 @@
 func (l *lease) Release()                    { l.environment.released++ }
 func (l *lease) Server() fleet.ServerID      { return l.server.id }
 func (l *lease) State() *session.ConnState   { return l.server.state }
+
 func (s *server) endsTransaction(kind session.StatementKind) bool {
 	return kind == session.StatementCommit || kind == session.StatementRollback
 }
--- a/session/router.go
+++ b/session/router.go
@@ -71,8 +71,9 @@
 	Exclusive(now time.Time) bool
 	// Release returns the connection to the pool.
 	Release()
-	// Run sends the commands in one batch and returns the reply to the last one.
-	// The batch stops at the first command that fails.
+	// Run sends the commands in one batch and returns the reply to the last one,
+	// or the error of the first one that failed. Commands after a failed one may
+	// run as well.
 	Run(deadline time.Time, commands []Command) (Reply, *RunError)
 	// Server returns the ID of the server.
 	Server() fleet.ServerID
--- a/workspace/compare.go
+++ b/workspace/compare.go
@@ -196,7 +196,7 @@
 	case StrategyCentralCounter:
 		return &centralStrategy{begin: begin, buckets: newBuckets(begin, limits), limits: limits}
 	case StrategyOwnerLeases:
-		return &ownerStrategy{begin: begin, leases: make(map[arrivalKey]*tokenLease), limits: limits, lostInstance: lostInstance, owner: newBuckets(begin, limits)}
+		return &ownerStrategy{begin: begin, leases: make(map[instanceLimitKey]*tokenLease), limits: limits, lostInstance: lostInstance, owner: newBuckets(begin, limits)}
 	}
 	shares := &sharesStrategy{begin: begin, limits: limits, lostInstance: lostInstance, moveShares: name == StrategyMovedShares}
 	for range compareInstances {
@@ -208,7 +208,7 @@
 			limiter.Set(begin, limit.Workspace, given)
 			demands[i] = NewDemand(begin)
 		}
-		shares.members = append(shares.members, &sharesMember{emptyUntil: make(map[arrivalKey]time.Time), demands: demands, limiter: limiter, nextCheckAt: begin})
+		shares.members = append(shares.members, &sharesMember{emptyUntil: make(map[instanceLimitKey]time.Time), demands: demands, limiter: limiter, nextCheckAt: begin})
 	}
 	return shares
 }
@@ -244,8 +244,8 @@
 	return s.buckets.Admit(a.at, s.limits[a.limit].Workspace).Admitted
 }
 
-// arrivalKey identifies an instance and a limit by their indexes.
-type arrivalKey struct {
+// instanceLimitKey identifies an instance and a limit by their indexes.
+type instanceLimitKey struct {
 	instance int
 	limit    int
 }
@@ -260,14 +260,14 @@
 // compareLeaseDuration. Unused tokens are lost when the lease ends.
 type ownerStrategy struct {
 	begin        time.Time
-	leases       map[arrivalKey]*tokenLease
+	leases       map[instanceLimitKey]*tokenLease
 	limits       []Limit
 	lostInstance int
 	owner        *Limiter
 }
 
 func (s *ownerStrategy) admit(a arrival) bool {
-	key := arrivalKey{a.instance, a.limit}
+	key := instanceLimitKey{a.instance, a.limit}
 	lease := s.leases[key]
 	if lease == nil || lease.tokens == 0 || !a.at.Before(lease.until) {
 		lease = &tokenLease{until: a.at.Add(compareLeaseDuration)}
@@ -307,7 +307,7 @@
 	demands []*Demand
 	// emptyUntil holds the times before which peers that had nothing to give
 	// aren't asked again.
-	emptyUntil map[arrivalKey]time.Time
+	emptyUntil map[instanceLimitKey]time.Time
 	limiter    *Limiter
 	// nextCheckAt is when the instance next asks for the shares that it lacks.
 	nextCheckAt time.Time
@@ -345,12 +345,12 @@
 		if i == s.lostInstance && now.Sub(s.begin) >= instanceLossStart {
 			continue
 		}
-		if i != instance && !now.Before(member.emptyUntil[arrivalKey{i, limit}]) {
+		if i != instance && !now.Before(member.emptyUntil[instanceLimitKey{i, limit}]) {
 			order = append(order, i)
 		}
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return member.emptyUntil[arrivalKey{a, limit}].Compare(member.emptyUntil[arrivalKey{b, limit}])
+		return member.emptyUntil[instanceLimitKey{a, limit}].Compare(member.emptyUntil[instanceLimitKey{b, limit}])
 	})
 	for _, i := range order {
 		demand := member.demands[limit]
@@ -362,7 +362,7 @@
 		share := donor.limiter.Share(now, id)
 		given, kept := donor.demands[limit].SplitForPeer(now, share, wanted)
 		if given == (Share{}) {
-			member.emptyUntil[arrivalKey{i, limit}] = now.Add(compareEmptyPeerBackoff)
+			member.emptyUntil[instanceLimitKey{i, limit}] = now.Add(compareEmptyPeerBackoff)
 			continue
 		}
 		donor.limiter.Set(now, id, kept)
--- a/workspace/division.go
+++ b/workspace/division.go
@@ -177,7 +177,8 @@
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Instance == d.self && m.Phase != PhaseHolding })
 }
 
-// removeUnlimited removes the state of workspaces that no longer have a limit.
+// removeUnlimited removes the shares, pools and demand of workspaces that no longer
+// have a limit.
 func (d *DistributedLimiter) removeUnlimited() {
 	known := make(map[fleet.WorkspaceID]bool, len(d.limits))
 	for _, limit := range d.limits {
@@ -263,7 +264,8 @@
 }
 
 // setShare gives a limiter a fraction of a limit. If fill is true, the bucket starts
-// with the tokens of initialFillTime, and otherwise it keeps its level.
+// with this fraction of one token plus the tokens of initialFillTime, and otherwise
+// it keeps its level.
 func setShare(limiter *Limiter, now time.Time, limit Limit, fraction float64, fill bool) {
 	share := Share{}
 	if fraction > 0 && limit.Rate > 0 {
--- a/workspace/divisionmodel_test.go
+++ b/workspace/divisionmodel_test.go
@@ -175,7 +175,7 @@
 	return maxInWindow
 }
 
-// maxAllowed returns the number of requests in modelWindow that the users' platform
+// maxAllowed returns the number of requests in modelWindow that the host platform
 // tolerates: the limit plus 10%, and 20 more.
 func (m *divisionModel) maxAllowed() float64 {
 	return (m.limit.Rate*modelWindow.Seconds()+m.limit.Burst)*1.1 + 20
