--- a/cmd/gatewayd/main.go
+++ b/cmd/gatewayd/main.go
@@ -1,4 +1,4 @@
-// Command gatewayd runs an instance on the users' platform.
+// Command gatewayd runs an instance on the host platform.
 package main
 
 import "os"
--- a/cmd/gatewayd/root.go
+++ b/cmd/gatewayd/root.go
@@ -16,8 +16,8 @@
 // run executes the command line and returns the exit status.
 func run(args []string, out, errOut io.Writer) int {
 	root := &cobra.Command{
-		Long:          "gatewayd runs one instance of nutmegpier on the users' platform.",
-		Short:         "Run nutmegpier on the users' platform",
+		Long:          "gatewayd runs one instance of nutmegpier on the host platform.",
+		Short:         "Run nutmegpier on the host platform",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Use:           "gatewayd",
--- a/cmd/process_test.go
+++ b/cmd/process_test.go
@@ -109,7 +109,8 @@
 }
 
 // awaitStatus waits until the status of an instance, as the status command prints it,
-// matches: awaitstatus URLFILE TOKENFILE PATTERN.
+// matches: awaitstatus URLFILE TOKENFILE PATTERN. Negated, it waits until the status
+// does not match.
 func awaitStatus(ts *testscript.TestScript, neg bool, args []string) {
 	client := adminClient(ts, args[0], args[1])
 	pattern := regexp.MustCompile("(?m)" + args[2])
--- a/event/stamp.go
+++ b/event/stamp.go
@@ -59,8 +59,9 @@
 	return Stamp{Count: uint32(count), Wall: wall}, nil
 }
 
-// next returns the smallest stamp at a wall time that is greater than both s and
-// observed. When the count overflows, the wall time advances by one nanosecond.
+// next returns the smallest stamp that is greater than both s and observed and whose
+// wall time is at least now. When the count overflows, the wall time advances by one
+// nanosecond.
 func (s Stamp) next(observed Stamp, now time.Time) Stamp {
 	latest := s
 	if observed.Compare(latest) > 0 {
--- a/instance/admin.go
+++ b/instance/admin.go
@@ -7,9 +7,9 @@
 	"github.com/nutmegpier/nutmegpier/operator"
 )
 
-// adminHeaderTimeout bounds reading the headers of a request on the administration
+// readHeaderTimeout bounds reading the headers of a request on the administration
 // and peer listeners, so that slow clients cannot hold connections open.
-const adminHeaderTimeout = 10 * time.Second
+const readHeaderTimeout = 10 * time.Second
 
 // adminServer returns the HTTP server of the administration listener. It serves
 // liveness, readiness, metrics and the administration API.
@@ -19,7 +19,7 @@
 	mux.HandleFunc("GET /readyz", i.serveReadiness)
 	mux.Handle("GET /debug/vars", i.metrics)
 	mux.Handle("/", api.Handler())
-	return &http.Server{Handler: mux, ReadHeaderTimeout: adminHeaderTimeout}
+	return &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 }
 
 // serveHealth is the liveness probe: it succeeds whenever the process can answer.
--- a/instance/peers.go
+++ b/instance/peers.go
@@ -60,7 +60,7 @@
 	mux.Handle(nutmegpierv1connect.NewPeerServiceHandler(i.peers,
 		connect.WithReadMaxBytes(maxPeerMessage),
 		connect.WithInterceptors(&stampInterceptor{events: i.config.Events})))
-	return &http.Server{Handler: mux, ReadHeaderTimeout: adminHeaderTimeout}
+	return &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 }
 
 // peerListener returns the listener for other instances, with TLS if it is
--- a/instance/run.go
+++ b/instance/run.go
@@ -43,9 +43,9 @@
 	i.killOnce.Do(func() { close(i.kill) })
 }
 
-// Run serves until the context ends, and then drains for at most
-// Timeouts.StopBound. It returns an error if sessions were aborted because that
-// time was over.
+// Run serves until the context ends, and then drains: sessions have at most
+// Timeouts.StopBound to finish. It returns an error if sessions were aborted
+// because that time was over, or if a server failed.
 func (i *Instance) Run(ctx context.Context) error {
 	i.config.Events.Record(event.InstanceStarted, event.Fields{Text: string(i.config.Settings.Instance)})
 	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
--- a/measure/control.go
+++ b/measure/control.go
@@ -42,7 +42,7 @@
 	return r.measureStatusSize(ctx, variant)
 }
 
-// measureStatusSize measures how many bytes the answer to one status poll of a database
+// measureStatusSize measures how many bytes the answer to one status poll of a backend
 // server has in the PostgreSQL protocol, without TCP and IP headers.
 func (r *repetition) measureStatusSize(ctx context.Context, variant string) error {
 	// Sizes of messages. A header is the message type and the length.
--- a/measure/result.go
+++ b/measure/result.go
@@ -1,5 +1,5 @@
 // Package measure runs load tests and experiments. Each scenario runs on instances and
-// on stand-ins for the platform and the database servers, in one process over loopback.
+// on stand-ins for the platform and the backend servers, in one process over loopback.
 // Results are stored as JSON, reported as HTML, and compared with each other.
 package measure
 
--- a/measure/testbed.go
+++ b/measure/testbed.go
@@ -64,7 +64,7 @@
 	return groups
 }
 
-// limit returns the workspace of the deployment, which holds its rate limit.
+// limit returns the definition of a workspace in the deployment, with its rate limit.
 func (tb *testbed) limit(id fleet.WorkspaceID) demo.Workspace {
 	i := slices.IndexFunc(tb.deployment.Workspaces, func(candidate demo.Workspace) bool { return candidate.Workspace == id })
 	return tb.deployment.Workspaces[i]
--- a/metastore/metastore.go
+++ b/metastore/metastore.go
@@ -14,17 +14,14 @@
 
 // Row is one row of the table.
 type Row struct {
-	// Key names the row.
 	Key string
 	// Revision is the revision of the row. A write ignores it.
 	Revision Revision
-	// Value is the content of the row.
-	Value []byte
+	Value    []byte
 }
 
 // Condition is a precondition of a write: the row must have this revision.
 type Condition struct {
-	// Key names the row.
 	Key string
 	// Revision is the expected revision. Zero means that the row must be absent.
 	Revision Revision
@@ -67,14 +64,12 @@
 
 // Instance is one entry of the platform's list of instances.
 type Instance struct {
-	// DataCentre is the data centre in which the instance runs.
 	DataCentre fleet.DataCentre
 	ID         fleet.InstanceID
 	// PeerAddress is the address, as "ip:port", on which the instance accepts
 	// connections from other instances.
 	PeerAddress string
-	// State is InstanceLeaving or InstanceLive.
-	State InstanceState
+	State       InstanceState
 }
 
 // InstanceList is the platform's list of instances. It may lag behind the actual
--- a/operator/client.go
+++ b/operator/client.go
@@ -23,8 +23,8 @@
 	token   string
 }
 
-// NewClient returns a client for the API at a URL that authenticates with a bearer
-// token.
+// NewClient returns a client for the API at a URL. The client authenticates with a
+// bearer token.
 func NewClient(httpClient connect.HTTPClient, url, token string) *Client {
 	return &Client{service: nutmegpierv1connect.NewAdminServiceClient(httpClient, url), token: token}
 }
--- a/operator/server.go
+++ b/operator/server.go
@@ -107,7 +107,7 @@
 	Events(filter event.Filter) []event.Event
 }
 
-// Config are what a Server needs. All but Archive are required.
+// Config holds the dependencies of a Server. All fields except Archive are required.
 type Config struct {
 	// Archive is nil if events are not archived.
 	Archive   Archive
