--- a/backend/control_test.go
+++ b/backend/control_test.go
@@ -17,7 +17,7 @@
 	"github.com/nutmegpier/nutmegpier/standin"
 )
 
-// newControls starts a group of simulated servers and returns a control for each.
+// newControls starts a group of stand-in servers and returns a control for each.
 func newControls(t *testing.T) (context.Context, *standin.Group, []*backend.Control) {
 	t.Helper()
 	g, err := standin.NewGroup(standin.Options{Authentication: standin.AuthenticationSCRAM, Password: "secret", User: "proxy"})
--- a/caller/server.go
+++ b/caller/server.go
@@ -368,7 +368,7 @@
 	return binary.BigEndian.Uint32(randomBytes(4))
 }
 
-// workspaceEvent returns an event of a session without a server.
+// workspaceEvent returns an event of a session that concerns no backend server.
 func workspaceEvent(name EventName, workspace fleet.WorkspaceID, group fleet.GroupID, text string) Event {
 	return Event{Group: group, Name: name, Text: text, Workspace: workspace}
 }
--- a/caller/statement.go
+++ b/caller/statement.go
@@ -404,7 +404,8 @@
 // maxFunctionName is the maximum length, in bytes, of the names in functionEffects.
 const maxFunctionName = 32
 
-// functionEffects lists built-in functions that write or that use session state.
+// functionEffects lists functions of PostgreSQL and its dblink extension that write
+// or that use session state.
 var functionEffects = map[string]effect{
 	"currval":                     effectSequence,
 	"dblink":                      effectWrites,
--- a/group/detector.go
+++ b/group/detector.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// contactMarginPercent is the percentage of DetectTime for which the primary
-	// must not respond to instances before it counts as failed while a majority
-	// of servers is in contact with it. The primary is then running, and the
+	// contactMarginPercent is the percentage of DetectTime after which a primary
+	// that does not respond to instances counts as failed, although a majority of
+	// the servers is in contact with it. The primary is then running, and the
 	// requests may just have been lost. With a DetectTime of 900 ms and a
 	// PollTimeout of 150 ms, nine calls in a row must be lost instead of six.
 	contactMarginPercent = 150
--- a/group/evidence_test.go
+++ b/group/evidence_test.go
@@ -42,15 +42,19 @@
 	// term can never be established.
 	committed           map[fleet.Position]fleet.Term
 	delayedObservations []group.Observation
-	committedTerms      map[fleet.LogPosition]fleet.Term
-	notRun              map[fleet.Position]fleet.Term
-	now                 time.Time
-	randomIndex         func(n int) int
-	promoters           []modelPromoter
-	rules               rules
-	servers             []*modelServer
-	views               []group.View
-	written             []fleet.Position
+	// committedTerms maps the log position of each committed entry to the entry's
+	// term.
+	committedTerms map[fleet.LogPosition]fleet.Term
+	// notRun maps each position that was decided not run to the newest term that
+	// was known to be established then, or to its own term if that is newer.
+	notRun      map[fleet.Position]fleet.Term
+	now         time.Time
+	randomIndex func(n int) int
+	promoters   []modelPromoter
+	rules       rules
+	servers     []*modelServer
+	views       []group.View
+	written     []fleet.Position
 }
 
 func newEvidenceModel(size int, r rules, randomIndex func(n int) int) *evidenceModel {
--- a/group/growth_test.go
+++ b/group/growth_test.go
@@ -130,7 +130,7 @@
 }
 
 // BenchmarkStatusCall measures a status call over a control connection to a
-// simulated server. CPU time and allocations include those of the simulated server.
+// stand-in server. CPU time and allocations include those of the stand-in server.
 func BenchmarkStatusCall(b *testing.B) {
 	servers, err := standin.NewGroup(standin.Options{})
 	if err != nil {
--- a/group/live_test.go
+++ b/group/live_test.go
@@ -25,14 +25,14 @@
 	liveWrites = 20
 )
 
-// liveDeployment is a simulated group with instances that control it over real
+// liveDeployment is a stand-in group with instances that control it over real
 // control connections and in real time.
 type liveDeployment struct {
 	*deployment
 	servers *standin.Group
 }
 
-// deployLive starts a simulated group and instances, and waits until all instances
+// deployLive starts a stand-in group and instances, and waits until all instances
 // know its primary.
 func deployLive(tb testing.TB) *liveDeployment {
 	tb.Helper()
--- a/peer/config.go
+++ b/peer/config.go
@@ -46,8 +46,9 @@
 type Table interface {
 	// Read returns those of the rows that exist, from one consistent snapshot.
 	Read(ctx context.Context, keys []string) ([]Row, error)
-	// Write writes all rows if all conditions are met, and none otherwise. After
-	// an error it is unknown whether the write took effect.
+	// Write writes all rows if all conditions are met, and none otherwise. It
+	// reports whether it wrote them, and returns the rows named in the call as they
+	// are after it. After an error it is unknown whether the write took effect.
 	Write(ctx context.Context, conditions []Condition, rows []Row) (applied bool, after []Row, err error)
 }
 
@@ -105,7 +106,7 @@
 	// Reporter is the instance that cannot reach the primary.
 	Reporter Member
 	Group    fleet.GroupID
-	// Silence is the time since the primary last answered the reporter.
+	// Silence is how long the primary has left the reporter's requests unanswered.
 	Silence time.Duration
 	// Term is the term of that primary.
 	Term fleet.Term
--- a/peer/membership.go
+++ b/peer/membership.go
@@ -240,8 +240,8 @@
 }
 
 // SilenceReport returns the members that are silent, to be reported to the peers.
-// Other members are left out to keep the periodic message small; their reports
-// would have no effect on an eviction.
+// Other members are left out to keep the periodic message small; reports about
+// them would have no effect on an eviction.
 func (m *Membership) SilenceReport(now time.Time) []Liveness {
 	var report []Liveness
 	for member, c := range m.contacts {
