--- a/demo/demo.go
+++ b/demo/demo.go
@@ -255,7 +255,7 @@
 		connectionsPerServer := (deployment.Connections + serversPerGroup - 1) / serversPerGroup
 		standIn, err := standin.NewGroup(standin.Options{
 			ApplyLag:        applyLag,
-			ConnectDelay:    connectionCost,
+			ConnectDelay:    connectDelay,
 			ConnectionLimit: connectionsPerServer,
 			ID:              database.Group,
 			ReceiveDelay:    receiveDelay,
@@ -338,7 +338,7 @@
 		d.platform.RemoveInstance(id)
 		return running.err
 	}
-	return &Error{Op: "stop instance", Kind: KindCommand, Err: fmt.Errorf("unknown instance %q", id)}
+	return &Error{Op: "end instance", Kind: KindCommand, Err: fmt.Errorf("unknown instance %q", id)}
 }
 
 // listenAll opens the listeners of all instances before the first instance starts.
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -76,7 +76,7 @@
 		"crash-primary quetzal_orders extra": `demo: fault: crash-primary: unexpected argument "extra"`,
 		"heal none":                          `demo: fault: unknown database "none"`,
 		"kill-instance":                      "demo: fault: kill-instance: argument INSTANCE is missing",
-		"kill-instance none":                 `demo: stop instance: unknown instance "none"`,
+		"kill-instance none":                 `demo: end instance: unknown instance "none"`,
 		"stop-store now":                     `demo: fault: stop-store: unexpected argument "now"`,
 	}
 	for command, want := range cases {
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -43,9 +43,9 @@
 
 // Simulated delays of the stand-in servers.
 const (
-	applyLag       = 20 * time.Millisecond
-	connectionCost = 10 * time.Millisecond
-	receiveDelay   = time.Millisecond
+	applyLag     = 20 * time.Millisecond
+	connectDelay = 10 * time.Millisecond
+	receiveDelay = time.Millisecond
 )
 
 // Deployments returns the deployments that the demo can run.
--- a/demo/fault.go
+++ b/demo/fault.go
@@ -105,6 +105,7 @@
 	}
 	for _, server := range group.Servers() {
 		group.PartitionServer(server.ID(), false)
+		// Without prefixes, BlockClients unblocks all clients.
 		server.BlockClients()
 		server.SetPaused(false)
 		server.Restart(true)
--- a/faultmatrix/cell.go
+++ b/faultmatrix/cell.go
@@ -108,7 +108,7 @@
 	// NoTestReason says why no test covers the cell. It is empty if Test is set.
 	NoTestReason string
 	Fault        Fault
-	// Expected describes the expected behaviour.
+	// Expected describes the expected behaviour. It is not empty if Test is set.
 	Expected  string
 	Guarantee Guarantee
 	Step      Step
--- a/faultmatrix/checker_test.go
+++ b/faultmatrix/checker_test.go
@@ -44,12 +44,12 @@
 		corrupt func(h *history)
 		want    string
 	}{
-		{"DoubledWrite", func(h *history) { h.journal = append(h.journal, journalRow{op: "a", version: 4}) }, "duplicate write"},
-		{"FalseNotRun", func(h *history) { h.journal = append(h.journal, journalRow{op: "n", version: 4}) }, "wrong outcome"},
+		{"DoubledWrite", func(h *history) { h.journal = append(h.journal, journalRow{op: "a", version: 4}) }, "doubled write"},
+		{"FalseNotRun", func(h *history) { h.journal = append(h.journal, journalRow{op: "n", version: 4}) }, "false outcome"},
 		{"LostWrite", func(h *history) { h.journal = h.journal[:2] }, "lost write"},
-		{"MixedTransaction", func(h *history) { h.sums = append(h.sums, stockTotal-1) }, "non-atomic transaction"},
-		{"MixedWrites", func(h *history) { h.journal[1].version = 1 }, "conflicting writes"},
-		{"OwnWriteMissed", func(h *history) { h.operations[6].version, h.operations[6].writer = 2, "u" }, "read-your-writes violation"},
+		{"MixedTransaction", func(h *history) { h.sums = append(h.sums, stockTotal-1) }, "mixed transaction"},
+		{"MixedWrites", func(h *history) { h.journal[1].version = 1 }, "mixed writes"},
+		{"OwnWriteMissed", func(h *history) { h.operations[6].version, h.operations[6].writer = 2, "u" }, "own write missed"},
 		{"StaleRead", func(h *history) { h.operations[7].version, h.operations[7].writer = 1, "a" }, "stale read"},
 		{"ReadOfTheFuture", func(h *history) { h.operations[1].version, h.operations[1].writer = 3, "b" }, "not linearizable"},
 		{"ReorderedWrites", func(h *history) {
--- a/faultmatrix/failover_test.go
+++ b/faultmatrix/failover_test.go
@@ -133,12 +133,12 @@
 	if _, err = tx.Exec(f.ctx, insertOp, "second"); err == nil {
 		err = tx.Commit(f.ctx)
 	}
-	if counts := outcome(err); counts == outcomeCommitted {
+	if got := outcome(err); got == outcomeCommitted {
 		t.Error("the transaction was acknowledged although its primary crashed before the commit")
 	}
 	_ = conn.Close(f.ctx)
-	counts := []int{f.journalCount(f.instances[0], "first"), f.journalCount(f.instances[0], "second")}
-	if diff := cmp.Diff([]int{0, 0}, counts); diff != "" {
+	got := []int{f.journalCount(f.instances[0], "first"), f.journalCount(f.instances[0], "second")}
+	if diff := cmp.Diff([]int{0, 0}, got); diff != "" {
 		t.Errorf("journal rows after the crash (-want +got):\n%s", diff)
 	}
 }
--- a/faultmatrix/history_test.go
+++ b/faultmatrix/history_test.go
@@ -116,16 +116,16 @@
 }
 
 // checkWrites finds duplicate, conflicting and lost writes, and writes that were
-// reported as not run but took effect.
+// reported as failed or not run but took effect.
 func (h *history) checkWrites() error {
 	seen, opsByVersion := make(map[string]bool), make(map[registerVersion]string)
 	for _, e := range h.journal {
 		if seen[e.op] {
-			return fmt.Errorf("duplicate write: the journal has several rows of %s", e.op)
+			return fmt.Errorf("doubled write: %s", e.op)
 		}
 		key := registerVersion{e.register, e.version}
 		if other, found := opsByVersion[key]; found {
-			return fmt.Errorf("conflicting writes: %s and %s both wrote version %d of register %d", other, e.op, e.version, e.register)
+			return fmt.Errorf("mixed writes: %s and %s made version %d of register %d", other, e.op, e.version, e.register)
 		}
 		seen[e.op], opsByVersion[key] = true, e.op
 	}
@@ -135,7 +135,7 @@
 		case o.outcome == outcomeCommitted && !seen[o.op]:
 			return fmt.Errorf("lost write: %s was acknowledged but is not in the journal", o.op)
 		case o.outcome != outcomeCommitted && o.outcome != outcomeUnknown && seen[o.op]:
-			return fmt.Errorf("wrong outcome: %s was reported as %s but is in the journal", o.op, o.outcome)
+			return fmt.Errorf("false outcome: %s was reported as %s and is there", o.op, o.outcome)
 		}
 	}
 	return nil
@@ -148,7 +148,7 @@
 func (h *history) checkTransfers() error {
 	for _, sum := range h.sums {
 		if sum != stockTotal {
-			return fmt.Errorf("non-atomic transaction: the sum of the stock rows was %d, want %d", sum, stockTotal)
+			return fmt.Errorf("mixed transaction: the stock rows had the sum %d, want %d", sum, stockTotal)
 		}
 	}
 	return nil
@@ -184,7 +184,7 @@
 		case o.kind == kindWrite && o.outcome == outcomeCommitted:
 			lastVersion[key] = max(lastVersion[key], o.version)
 		case o.kind == kindRead && o.version < lastVersion[key]:
-			return fmt.Errorf("read-your-writes violation: session %d read version %d of register %d after it had written version %d", o.session, o.version, o.register, lastVersion[key])
+			return fmt.Errorf("own write missed: session %d saw version %d of register %d after %d", o.session, o.version, o.register, lastVersion[key])
 		}
 	}
 	return nil
--- a/standin/error.go
+++ b/standin/error.go
@@ -28,8 +28,7 @@
 // Error is the error type of this package.
 type Error struct {
 	// Err is the cause, if there is one.
-	Err error
-	// Kind classifies the error.
+	Err  error
 	Kind Kind
 	// Op is the operation that failed.
 	Op string
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -207,7 +207,6 @@
 	}
 }
 
-// countCall increments a counter of calls.
 func (p *Platform) countCall(counter *int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/promise.go
+++ b/standin/promise.go
@@ -7,8 +7,7 @@
 type Promise struct {
 	// Holder is the instance that may promote the server in the term.
 	Holder fleet.InstanceID
-	// Term is the promised term.
-	Term fleet.Term
+	Term   fleet.Term
 }
 
 // Allows reports whether the holder may promote the server in the term.
