--- a/peer/ledger.go
+++ b/peer/ledger.go
@@ -279,7 +279,7 @@
 	return l.roster.Generation
 }
 
-// NeedsReset reports whether shares were lost, or given to an instance
+// NeedsNewGeneration reports whether shares were lost, or given to an instance
 // outside the roster. Only a new generation divides them among the members again.
 func (l *Ledger) NeedsNewGeneration() bool {
 	return l.lostShares || l.gaveToNonMember
